--- a/src/placement/adapters.rs
+++ b/src/placement/adapters.rs
@@ -3,10 +3,10 @@
 use crate::{
   command::Act,
   placement::{
-    held::{self, Server},
     models,
+    need::Need,
     plan::Plan,
-    wanted::Need,
+    server::{self, Server},
   },
 };
 
@@ -29,7 +29,7 @@
   }
 
   /// Loads an adapter that requests wait for at a holder of its model.
-  pub(crate) fn load_adapter(&mut self, need: &Need, holders: &[held::Key]) {
+  pub(crate) fn load_adapter(&mut self, need: &Need, holders: &[server::Key]) {
     let adapter = need.model;
     let mut servers = holders.iter().map(|key| &self.servers[*key]);
     if servers.any(|server| self.has_or_gets(server, adapter)) {
@@ -55,7 +55,7 @@
   }
 
   /// Unloads the adapter of a server that was not used for longest.
-  fn drop_adapter(&mut self, key: held::Key) {
+  fn drop_adapter(&mut self, key: server::Key) {
     let server = &self.servers[key];
     let held = server.models.values().flatten();
     let idle = held.filter(|adapter| !server.running.contains_key(adapter));
@@ -65,7 +65,7 @@
     }
   }
 
-  fn order_adapter(&mut self, key: held::Key, adapter: models::Key, act: Act) {
+  fn order_adapter(&mut self, key: server::Key, adapter: models::Key, act: Act) {
     let server = &self.servers[key];
     // One order at a time, whatever it is for.
     if !server.adapters.is_empty() || server.job.is_some() {
--- a/src/placement/ahead.rs
+++ b/src/placement/ahead.rs
@@ -2,10 +2,10 @@
 
 use crate::{
   placement::{
-    held,
     models::{self, PoolKey},
+    need::Need,
     plan::{HEAVY_USE, LOAD_COST, Plan},
-    wanted::Need,
+    server,
   },
   report::Tier,
 };
@@ -86,7 +86,7 @@
   }
 
   /// The server that has room for a model, where its load costs least.
-  fn empty_server(&self, model: models::Key) -> Option<(u64, held::Key)> {
+  fn empty_server(&self, model: models::Key) -> Option<(u64, server::Key)> {
     let entry = &self.models[model];
     let size = entry.size?;
     let memory_mb = self.models.engine(entry.pool)?.memory_mb;
@@ -95,7 +95,7 @@
     let wait = entry.holders.is_empty() && near;
     let remote = !wait && self.remote_jobs < AHEAD_AT_ONCE && self.may_load(model);
     let policy = self.policy(model);
-    let mut best: Option<(u64, held::Key)> = None;
+    let mut best: Option<(u64, server::Key)> = None;
     for (key, server) in self.of_pool(entry.pool) {
       let here = server.models.contains_key(&model);
       if here || !server.free(self.now) {
--- a/src/placement/choose.rs
+++ b/src/placement/choose.rs
@@ -3,12 +3,12 @@
 use crate::{
   backend::missing_name,
   placement::{
-    held::{self, Job, LEAVE_MS, Server, Step},
     models,
+    need::Need,
     plan::{LOAD_COST, Plan},
     publish::PUBLISH_MS,
+    server::{self, Job, LEAVE_MS, Server, Step},
     urgency::gain,
-    wanted::Need,
   },
   policy::Evict,
   report::Tier,
@@ -36,7 +36,7 @@
 /// A server that can take a load.
 struct Choice {
   cost: u64,
-  server: held::Key,
+  server: server::Key,
   victims: Vec<models::Key>,
 }
 
@@ -79,7 +79,7 @@
   }
 
   /// Servers that hold a model and keep it.
-  pub(crate) fn holders(&self, model: models::Key) -> &[held::Key] {
+  pub(crate) fn holders(&self, model: models::Key) -> &[server::Key] {
     &self.models[model].holders
   }
 
@@ -222,7 +222,7 @@
   fn consider(
     &self,
     (model, requests): (models::Key, f64),
-    key: held::Key,
+    key: server::Key,
     tier: Tier,
     pays: &impl Fn(&Server, Tier) -> bool,
     best: &mut Option<Choice>,
@@ -266,7 +266,7 @@
   /// Begins to load a model.
   pub(crate) fn start(
     &mut self,
-    key: held::Key,
+    key: server::Key,
     victims: Vec<models::Key>,
     cost: u64,
     need: &Need,
--- a/src/placement/gone.rs
+++ b/src/placement/gone.rs
@@ -5,9 +5,9 @@
   command::{Inventory, Unheard},
   life::Life,
   placement::{
-    held::Server,
     models::{self, Models, PoolKey},
     plan::{Effect, Plan},
+    server::Server,
   },
 };
 use std::{collections::BTreeSet, net::SocketAddr};
--- a/src/placement/models.rs
+++ b/src/placement/models.rs
@@ -7,7 +7,7 @@
 use crate::{
   demand::Model,
   deployment::{Checkpoint, Deployment, Engine},
-  placement::{held, obstacle::Delay},
+  placement::{obstacle::Delay, server},
   report::Tier,
   strain::Strain,
 };
@@ -66,9 +66,9 @@
   /// None where the deployment does not name it.
   pub(crate) size: Option<Size>,
   /// Servers that take work and hold it, and keep it.
-  pub(crate) holders: Vec<held::Key>,
+  pub(crate) holders: Vec<server::Key>,
   /// Servers that take work and have a copy of its checkpoint.
-  pub(crate) copies: Vec<(held::Key, Tier)>,
+  pub(crate) copies: Vec<(server::Key, Tier)>,
   /// Loads under way.
   pub(crate) loads: usize,
   /// Servers of other groups that hold it, and groups whose servers have a copy of it or
--- a/src/placement/wanted.rs
+++ b/src/placement/need.rs
@@ -2,8 +2,9 @@
 
 use super::{
   choose::REMOTE_LOOKS,
-  held, models,
+  models,
   plan::Plan,
+  server,
   urgency::{Wait, gain},
 };
 use std::{cmp::Reverse, collections::BTreeMap};
@@ -88,7 +89,7 @@
         continue;
       }
       if self.may_serve(need) {
-        let holders: Vec<held::Key> = base.holders.clone();
+        let holders: Vec<server::Key> = base.holders.clone();
         self.load_adapter(need, &holders);
       }
     }
--- a/src/placement/obstacle.rs
+++ b/src/placement/obstacle.rs
@@ -2,10 +2,10 @@
 //! reason held it up.
 
 use crate::placement::{
-  held::{self, Server},
   models,
+  need::DEMAND_MS,
   plan::Plan,
-  wanted::DEMAND_MS,
+  server::{self, Server},
 };
 use std::collections::BTreeMap;
 
@@ -104,7 +104,7 @@
     }
     let policy = self.policy(model);
     let servers = entry.copies.iter().map(|(key, _)| *key);
-    let allowed = |key: &held::Key| self.allows(policy, &self.servers[*key]);
+    let allowed = |key: &server::Key| self.allows(policy, &self.servers[*key]);
     let found = servers
       .filter(allowed)
       .map(|key| self.obstacle_at(&self.servers[key]));
--- a/src/placement/work.rs
+++ b/src/placement/orders.rs
@@ -6,9 +6,9 @@
   command::{Act, Command, Inventory, Taken, Unheard},
   life::Life,
   placement::{
-    held::{self, Held, Server, Step, by_key},
     models,
     plan::{ASK_MS, Effect, LAG_MS, Plan},
+    server::{self, Held, Server, Step, by_key},
   },
   report::Tier,
 };
@@ -122,7 +122,7 @@
 
   /// A load from a near copy is taken as done when its time is over: a report would show
   /// it only after a lag. The server is asked later.
-  fn take_as_done(&mut self, key: held::Key) {
+  fn take_as_done(&mut self, key: server::Key) {
     let now = self.now;
     self.change(key, |server, _| {
       if let Some(job) = server.job.take() {
@@ -136,7 +136,7 @@
 
   /// Goes on with a job after its server was asked again, where the load still finds
   /// room: an earlier order without answer may have been carried out meanwhile.
-  fn keep_job(&mut self, key: held::Key) {
+  fn keep_job(&mut self, key: server::Key) {
     let server = &self.servers[key];
     let Some(job) = &server.job else {
       return;
@@ -163,7 +163,7 @@
   }
 
   /// Gives up a load that was not ordered yet.
-  fn give_up(&mut self, key: held::Key, why: String) {
+  fn give_up(&mut self, key: server::Key, why: String) {
     let job = self.change(key, |server, _| {
       server.leaving.clear();
       server.job.take()
@@ -175,7 +175,7 @@
   }
 
   /// Asks a server what it holds, where that is due.
-  pub(crate) fn sync(&mut self, key: held::Key) {
+  pub(crate) fn sync(&mut self, key: server::Key) {
     let now = self.now;
     let Some(server) = self.servers.get(key) else {
       return;
@@ -196,7 +196,7 @@
     self.ask(key);
   }
 
-  fn ask(&mut self, key: held::Key) {
+  fn ask(&mut self, key: server::Key) {
     self.change(key, |server, _| server.asking = true);
     let spec = &self.servers[key].spec;
     let effect = Effect::Ask {
@@ -207,7 +207,7 @@
   }
 
   /// Goes on with a server's job.
-  pub(crate) fn work(&mut self, key: held::Key) {
+  pub(crate) fn work(&mut self, key: server::Key) {
     let now = self.now;
     let Some(server) = self.servers.get(key) else {
       return;
@@ -249,7 +249,7 @@
   }
 
   /// Orders a change of a model, or of an adapter.
-  pub(crate) fn send(&mut self, key: held::Key, act: Act, model: models::Key) {
+  pub(crate) fn send(&mut self, key: server::Key, act: Act, model: models::Key) {
     let server = &self.servers[key];
     self.out.push(Effect::Order(Command {
       id: server.spec.id.clone(),
--- a/src/placement/plan.rs
+++ b/src/placement/plan.rs
@@ -7,13 +7,13 @@
 
 use super::{
   gone::Gone,
-  held::{self, Job, Server, Step},
   models::{self, Models, PoolKey},
+  need::Need,
+  orders::UNLOAD_MS,
   publish::{PUBLISH_LEAST_MS, PUBLISH_MS},
   remote::Remote,
   report::Member,
-  wanted::Need,
-  work::UNLOAD_MS,
+  server::{self, Job, Server, Step},
 };
 pub use super::{publish::Holdings, report::Report};
 use crate::{
@@ -80,21 +80,21 @@
   /// Which of the groups this is.
   pub(crate) group: u32,
   pub(crate) models: Models,
-  pub(crate) servers: SlotMap<held::Key, Server>,
+  pub(crate) servers: SlotMap<server::Key, Server>,
   /// Servers by what names them in reports, whichever of their lives it is.
-  pub(crate) ids: HashMap<u64, held::Key>,
+  pub(crate) ids: HashMap<u64, server::Key>,
   /// Some server needs help.
   pub(crate) any_limited: bool,
   /// Some server turns requests away until then, ms.
   pub(crate) turned_away_until: u64,
   /// Servers that models leave.
-  pub(crate) leaving: BTreeSet<held::Key>,
+  pub(crate) leaving: BTreeSet<server::Key>,
   /// Groups of other servers, as far as they are published.
   pub(crate) groups: BTreeSet<u32>,
   /// When servers are due to be gone on with.
-  timers: BTreeSet<(u64, held::Key)>,
+  timers: BTreeSet<(u64, server::Key)>,
   /// Servers whose holdings may have changed since they were last published.
-  pub(crate) dirty: BTreeSet<held::Key>,
+  pub(crate) dirty: BTreeSet<server::Key>,
   /// Counts steps in which demand was served.
   pub(crate) served: u64,
   /// What callers wait for, or will come back for, as of the last step.
@@ -129,7 +129,7 @@
   /// Counts changes of holdings in this term.
   pub(crate) changes: u64,
   /// The last change of each server, by count.
-  pub(super) changed: BTreeMap<u64, held::Key>,
+  pub(super) changed: BTreeMap<u64, server::Key>,
   /// When changes were lately published, ms, and up to which count.
   pub(super) published: VecDeque<(u64, u64)>,
   pub(crate) now: u64,
@@ -186,7 +186,7 @@
     self.changes = 0;
     self.changed.clear();
     self.published.clear();
-    let keys: Vec<held::Key> = self.servers.keys().collect();
+    let keys: Vec<server::Key> = self.servers.keys().collect();
     for key in keys {
       self.change(key, |server, _| server.forget());
     }
@@ -200,7 +200,7 @@
     }
     let listed: BTreeSet<u64> = specs.iter().map(|spec| spec.life().server()).collect();
     let unlisted = self.ids.extract_if(|server, _| !listed.contains(server));
-    let unlisted: Vec<held::Key> = unlisted.map(|(_, key)| key).collect();
+    let unlisted: Vec<server::Key> = unlisted.map(|(_, key)| key).collect();
     let gone: Vec<Server> = unlisted
       .into_iter()
       .filter_map(|key| self.take_out(key))
@@ -257,7 +257,7 @@
   }
 
   /// Takes a server out, with all that is looked up by it.
-  fn take_out(&mut self, key: held::Key) -> Option<Server> {
+  fn take_out(&mut self, key: server::Key) -> Option<Server> {
     self.leave(key);
     self.dirty.remove(&key);
     let server = self.servers.remove(key)?;
@@ -268,7 +268,7 @@
   /// Changes a server, and brings up to date what is looked up of it by model and by time.
   pub(crate) fn change<R>(
     &mut self,
-    key: held::Key,
+    key: server::Key,
     change: impl FnOnce(&mut Server, &mut Models) -> R,
   ) -> Option<R> {
     self.leave(key);
@@ -278,7 +278,7 @@
   }
 
   /// Enters a server where it is looked up.
-  fn enter(&mut self, key: held::Key) {
+  fn enter(&mut self, key: server::Key) {
     let Some(server) = self.servers.get_mut(key) else {
       return;
     };
@@ -306,7 +306,7 @@
   }
 
   /// Takes a server out of where it is looked up.
-  fn leave(&mut self, key: held::Key) {
+  fn leave(&mut self, key: server::Key) {
     let Some(server) = self.servers.get_mut(key) else {
       return;
     };
@@ -334,14 +334,14 @@
   }
 
   /// The server that is named by a life, unless it has a later one.
-  pub(crate) fn living(&self, life: Life) -> Option<held::Key> {
+  pub(crate) fn living(&self, life: Life) -> Option<server::Key> {
     let key = *self.ids.get(&life.server())?;
     let server = self.servers.get(key)?;
     life.counts(server.spec.life()).then_some(key)
   }
 
   /// Servers of a pool.
-  pub(crate) fn of_pool(&self, pool: PoolKey) -> impl Iterator<Item = (held::Key, &Server)> {
+  pub(crate) fn of_pool(&self, pool: PoolKey) -> impl Iterator<Item = (server::Key, &Server)> {
     let servers = self.servers.iter();
     servers.filter(move |(_, server)| server.pool == pool)
   }
@@ -437,7 +437,7 @@
   /// Goes on with the servers that are due.
   fn follow(&mut self) {
     let due = self.timers.iter().take_while(|(at, _)| *at <= self.now);
-    let due: Vec<held::Key> = due.map(|(_, key)| *key).collect();
+    let due: Vec<server::Key> = due.map(|(_, key)| *key).collect();
     for key in due {
       self.sync(key);
       self.work(key);
@@ -468,7 +468,7 @@
   pub(crate) fn note(
     &mut self,
     what: &'static str,
-    server: held::Key,
+    server: server::Key,
     model: models::Key,
     why: String,
   ) {
--- a/src/placement/publish.rs
+++ b/src/placement/publish.rs
@@ -1,8 +1,8 @@
 //! What instances are sent of the servers' holdings.
 
 use super::{
-  held,
   plan::{Effect, Plan},
+  server,
 };
 use crate::backend::Holding;
 use std::net::SocketAddr;
@@ -64,7 +64,7 @@
   }
 
   /// Counts a change of a server's holding, where there is one.
-  fn note_change(&mut self, key: held::Key) {
+  fn note_change(&mut self, key: server::Key) {
     let Some(server) = self.servers.get_mut(key).filter(|server| server.synced) else {
       return;
     };
--- a/src/placement/replicas.rs
+++ b/src/placement/replicas.rs
@@ -4,9 +4,9 @@
 use crate::{
   backend::Stage,
   placement::{
-    held::{self, Server},
     models::{self, PoolKey},
     plan::Plan,
+    server::{self, Server},
   },
 };
 use std::collections::{BTreeMap, BTreeSet};
@@ -151,7 +151,7 @@
 
   /// Lets the replica go that has the fewest requests, of a model that can do without.
   pub(crate) fn leave_one(&mut self, pool: PoolKey) {
-    let mut best: Option<(u32, held::Key, models::Key)> = None;
+    let mut best: Option<(u32, server::Key, models::Key)> = None;
     for (key, server) in self.of_pool(pool) {
       if !server.synced || server.spec.stage != Stage::Ready {
         continue;
--- a/src/placement/report.rs
+++ b/src/placement/report.rs
@@ -1,6 +1,6 @@
 //! What instances report to the planner, and which of them report.
 
-use super::{held, models, plan::Plan, wanted::Need};
+use super::{models, need::Need, plan::Plan, server};
 use crate::{
   demand::{Demand, Model},
   life::Life,
@@ -48,7 +48,7 @@
   pub(super) needs: Vec<Need>,
   /// Its requests sent and not ended, as it named them, and as they are counted.
   running: Vec<(Life, Model, u32)>,
-  counted: Vec<(held::Key, models::Key, u32)>,
+  counted: Vec<(server::Key, models::Key, u32)>,
   /// Up to which change it knows the group's holdings.
   pub(super) known: u64,
   /// It lacks changes, as its last report shows, and was not sent them since.
@@ -143,7 +143,7 @@
   }
 
   /// Counts what an instance runs at the servers that it names; gives what was counted.
-  fn count_running(&mut self, member: &Member) -> Vec<(held::Key, models::Key, u32)> {
+  fn count_running(&mut self, member: &Member) -> Vec<(server::Key, models::Key, u32)> {
     let mut counted = Vec::with_capacity(member.running.len());
     for (life, model, count) in &member.running {
       let Some(key) = self.living(*life) else {
@@ -159,7 +159,7 @@
     counted
   }
 
-  fn uncount(&mut self, counted: &[(held::Key, models::Key, u32)]) {
+  fn uncount(&mut self, counted: &[(server::Key, models::Key, u32)]) {
     for (key, model, count) in counted {
       let Some(server) = self.servers.get_mut(*key) else {
         continue;
