--- a/src/exchange.rs
+++ b/src/exchange.rs
@@ -7,7 +7,7 @@
   feed::Gate,
   lease::promise::Question,
   message::{Kind, Message, StoreAge, Update},
-  placement::plan::{Holdings, Report},
+  placement::plan::{Publication, Report},
   planner::Planner,
   replication::{Fit, Known, parts},
 };
@@ -163,7 +163,7 @@
     let mut holders: Vec<SocketAddr> = Vec::new();
     for group in &mut self.groups {
       if group.leads(now) {
-        group.plan.report(now, self.own, report.clone());
+        group.plan.receive_report(now, self.own, report.clone());
       } else if let Some(holder) = group.lease.holder()
         && holder != self.own
         && !holders.contains(&holder)
@@ -232,7 +232,7 @@
   }
 
   /// Publishes an update of a group's holdings, to one instance or to all.
-  pub(crate) fn publish(&mut self, index: usize, update: &Holdings) {
+  pub(crate) fn publish(&mut self, index: usize, update: &Publication) {
     // A change should reach the others before the progress that names it.
     self.publish_changes();
     let now = self.hub.now();
@@ -280,7 +280,7 @@
       self.list_suspects(now, &others);
     }
     let pause = self.outbox.drained_ms();
-    self.groups[index].plan.pace(pause);
+    self.groups[index].plan.set_publish_interval(pause);
     if mine {
       self.take_own(index, heartbeat.term, update, instances);
     }
@@ -291,7 +291,7 @@
     &mut self,
     now: u64,
     index: usize,
-    update: &Holdings,
+    update: &Publication,
     members: Vec<SocketAddr>,
   ) -> Vec<SocketAddr> {
     let group = &mut self.groups[index];
@@ -304,7 +304,7 @@
   }
 
   /// Sends an update in parts; only the first one carries members, loads and quarantine.
-  fn send_parts(&mut self, mut head: Update, update: &Holdings, to: &[SocketAddr]) {
+  fn send_parts(&mut self, mut head: Update, update: &Publication, to: &[SocketAddr]) {
     for part in parts(update) {
       head.since = part.since;
       head.latest = part.latest;
@@ -319,7 +319,7 @@
   }
 
   /// Takes up an update of this instance's own.
-  fn take_own(&mut self, index: usize, term: u64, update: &Holdings, instances: usize) {
+  fn take_own(&mut self, index: usize, term: u64, update: &Publication, instances: usize) {
     let groups = self.groups.len() as u32;
     self.groups[index].known = Known {
       term,
--- a/src/placement/choose.rs
+++ b/src/placement/choose.rs
@@ -277,7 +277,7 @@
     };
     let tier = self.servers[key].tier(model);
     if tier == Tier::Remote {
-      self.remote.begin(now);
+      self.remote.record_start(now);
     }
     // With its publication it gets the time that counts.
     let wait = match victims.is_empty() {
--- a/src/placement/gone.rs
+++ b/src/placement/gone.rs
@@ -99,7 +99,7 @@
     if gone.questions < QUESTIONS_MOST {
       gone.questions += 1;
       let address = gone.address;
-      self.out.push(Effect::Ask { id, address });
+      self.out.push(Effect::Query { id, address });
     }
   }
 
--- a/src/placement/orders.rs
+++ b/src/placement/orders.rs
@@ -45,7 +45,7 @@
 
 impl Plan {
   /// Takes up what became of an order.
-  pub fn ordered(&mut self, now: u64, command: &Command, taken: Taken) {
+  pub fn record_order_result(&mut self, now: u64, command: &Command, taken: Taken) {
     self.now = now;
     // Orders of an earlier life are over with it.
     let Some(key) = self.living(command.life()) else {
@@ -78,7 +78,7 @@
   }
 
   /// Takes up a server's answer to a question.
-  pub fn inventory(&mut self, now: u64, id: &str, inventory: Result<Inventory, Unheard>) {
+  pub fn receive_inventory(&mut self, now: u64, id: &str, inventory: Result<Inventory, Unheard>) {
     self.now = now;
     let born = inventory.as_ref().map_or(0, |inventory| inventory.born);
     let life = Life::of(id, born);
@@ -115,7 +115,7 @@
       let stated = size.load_ms(Tier::Remote);
       self
         .remote
-        .learn(now.saturating_sub(began), stated, under_way, ended);
+        .observe(now.saturating_sub(began), stated, under_way, ended);
     }
     self.keep_job(key);
   }
@@ -199,7 +199,7 @@
   fn ask(&mut self, key: server::Key) {
     self.change(key, |server, _| server.asking = true);
     let spec = &self.servers[key].spec;
-    let effect = Effect::Ask {
+    let effect = Effect::Query {
       id: spec.id.clone(),
       address: spec.address,
     };
--- a/src/placement/plan.rs
+++ b/src/placement/plan.rs
@@ -15,7 +15,7 @@
   report::Member,
   server::{self, Job, Server, Step},
 };
-pub use super::{publish::Holdings, report::Report};
+pub use super::{publish::Publication, report::Report};
 use crate::{
   backend::{Spec, Stage},
   command::Command,
@@ -50,13 +50,13 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Effect {
   Order(Command),
-  Ask {
+  Query {
     id: String,
     address: SocketAddr,
   },
-  Publish(Holdings),
+  Publish(Publication),
   /// A decision, for the log: what, about which server and model, and why.
-  Note {
+  Log {
     what: &'static str,
     server: String,
     model: String,
@@ -66,7 +66,7 @@
 
 /// A server of another group, as far as it is published.
 #[derive(Clone, Debug)]
-pub struct Other {
+pub struct OtherServer {
   pub group: u32,
   pub pool: String,
   /// Models that can be used there.
@@ -138,7 +138,7 @@
 
 impl Plan {
   /// The plan of a machine that holds no lease yet.
-  pub fn open(machine: &str, group: u32, load_window_ms: u64, load_overage: f64) -> Self {
+  pub fn new(machine: &str, group: u32, load_window_ms: u64, load_overage: f64) -> Self {
     Self {
       group,
       models: Models::default(),
@@ -161,7 +161,7 @@
       gone: BTreeMap::new(),
       members: BTreeMap::new(),
       faded: 0,
-      remote: Remote::open(load_window_ms, load_overage),
+      remote: Remote::new(load_window_ms, load_overage),
       remote_jobs: 0,
       unload_ms: UNLOAD_MS,
       even: BTreeMap::new(),
@@ -179,7 +179,7 @@
   }
 
   /// The lease was taken: nothing that was known of the servers counts.
-  pub fn begin(&mut self, now: u64, term: u64) {
+  pub fn start_term(&mut self, now: u64, term: u64) {
     self.now = now;
     self.settled_at = now + SETTLE_MS;
     self.term = term;
@@ -193,7 +193,7 @@
   }
 
   /// Takes up the deployment and the servers of the group.
-  pub fn servers(&mut self, deployment: Arc<Deployment>, mut specs: Vec<Spec>) {
+  pub fn update_servers(&mut self, deployment: Arc<Deployment>, mut specs: Vec<Spec>) {
     if !Arc::ptr_eq(&self.deployment, &deployment) {
       self.models.deploy(&deployment);
       self.deployment = deployment;
@@ -249,7 +249,7 @@
   }
 
   /// Takes up which servers need help.
-  pub fn limited(&mut self, lives: &BTreeSet<Life>) {
+  pub fn update_limited(&mut self, lives: &BTreeSet<Life>) {
     self.any_limited = !lives.is_empty();
     for server in self.servers.values_mut() {
       server.limited = lives.contains(&server.spec.life());
@@ -347,7 +347,7 @@
   }
 
   /// Takes up what servers of other groups hold.
-  pub fn others(&mut self, others: Vec<Other>) {
+  pub fn update_other_servers(&mut self, others: Vec<OtherServer>) {
     if others.is_empty() && self.groups.is_empty() {
       return;
     }
@@ -376,7 +376,7 @@
   }
 
   /// Takes up the operators' policies.
-  pub fn policies(&mut self, policies: BTreeMap<String, Policy>) {
+  pub fn update_policies(&mut self, policies: BTreeMap<String, Policy>) {
     self.policies = policies;
   }
 
@@ -406,7 +406,7 @@
   }
 
   /// Whether orders may go out: otherwise what is under way is followed to its end.
-  pub fn order(&mut self, may: bool) {
+  pub fn set_ordering(&mut self, may: bool) {
     self.ordering = may;
   }
 
@@ -445,7 +445,7 @@
   }
 
   /// When to step again, ms.
-  pub fn due(&self, now: u64) -> u64 {
+  pub fn next_step_at(&self, now: u64) -> u64 {
     let wait = self.published_at + PUBLISH_MS;
     let publish = match self.unpublished {
       true => self.published_at + self.pause,
@@ -481,7 +481,7 @@
       .servers
       .get(server)
       .map(|server| server.spec.id.clone());
-    self.out.push(Effect::Note {
+    self.out.push(Effect::Log {
       what,
       server: id.unwrap_or_default(),
       model,
--- a/src/placement/publish.rs
+++ b/src/placement/publish.rs
@@ -17,7 +17,7 @@
 
 /// An update of holdings for other instances.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Holdings {
+pub struct Publication {
   /// None: all instances.
   pub to: Option<SocketAddr>,
   /// Holdings that changed between these counts; from 0: all holdings.
@@ -31,12 +31,12 @@
 
 impl Plan {
   /// Changes are published no closer than this, ms: what it costs decides.
-  pub fn pace(&mut self, pause: u64) {
+  pub fn set_publish_interval(&mut self, pause: u64) {
     self.pause = pause.max(PUBLISH_LEAST_MS);
   }
 
   /// Publishes at the next step, changed or not.
-  pub fn publish_soon(&mut self) {
+  pub fn request_publish(&mut self) {
     self.unpublished = true;
   }
 
@@ -121,7 +121,7 @@
       let published = self.servers.get(*key)?.published.clone()?;
       Some((*count, published))
     });
-    let holdings = Holdings {
+    let holdings = Publication {
       to,
       since,
       latest: self.changes,
--- a/src/placement/remote.rs
+++ b/src/placement/remote.rs
@@ -23,7 +23,7 @@
 
 impl Remote {
   /// Nothing was loaded yet; the window in which loads are bounded, and this holder's part.
-  pub fn open(window_ms: u64, part: f64) -> Self {
+  pub fn new(window_ms: u64, part: f64) -> Self {
     Self {
       begun: VecDeque::new(),
       window_ms,
@@ -44,7 +44,7 @@
   }
 
   /// A load begins.
-  pub fn begin(&mut self, now: u64) {
+  pub fn record_start(&mut self, now: u64) {
     let from = now.saturating_sub(self.window_ms);
     while self.begun.front().is_some_and(|at| *at < from) {
       self.begun.pop_front();
@@ -54,7 +54,7 @@
 
   /// A load that is stated to take so long has taken this, with so many under way; `ended`: it
   /// is over.
-  pub fn learn(&mut self, took_ms: u64, stated_ms: u64, under_way: usize, ended: bool) {
+  pub fn observe(&mut self, took_ms: u64, stated_ms: u64, under_way: usize, ended: bool) {
     let (took, stated) = (took_ms as f64, stated_ms.max(1) as f64);
     let under_way = under_way.max(1) as f64;
     if took > stated * SLOWED {
--- a/src/placement/report.rs
+++ b/src/placement/report.rs
@@ -59,7 +59,7 @@
 
 impl Plan {
   /// Takes up an instance's report.
-  pub fn report(&mut self, now: u64, address: SocketAddr, report: Report) {
+  pub fn receive_report(&mut self, now: u64, address: SocketAddr, report: Report) {
     self.take_missing(now, &report.missing);
     self.take_resting(now, &report.resting);
     self.take_strain(now, &report.strain);
--- a/src/planner.rs
+++ b/src/planner.rs
@@ -18,7 +18,7 @@
   life::Life,
   message::Message,
   outbox::{self, Outbox},
-  placement::plan::{Effect, Other, Plan, Report},
+  placement::plan::{Effect, OtherServer, Plan, Report},
   policy::Policy,
   pool::Pool,
   quota::{Accounts, Bound, Sums},
@@ -266,7 +266,7 @@
     number,
     name: format!("orders-{number}"),
     lease: Lease::open(&routing.machine, address, routing.lease_ms, jitter, 0),
-    plan: Plan::open(&routing.machine, number, routing.load_window_ms, overage),
+    plan: Plan::new(&routing.machine, number, routing.load_window_ms, overage),
     holding: false,
     rest_until: 0,
     seen: (0, 0),
@@ -340,7 +340,7 @@
     for group in &self.groups {
       due = due.min(group.lease.due(now));
       if group.leads(now) {
-        due = due.min(group.plan.due(now).max(group.rest_until));
+        due = due.min(group.plan.next_step_at(now).max(group.rest_until));
       }
       if group.holding {
         due = due.min(self.policies_at);
@@ -379,7 +379,7 @@
       match postcard::from_bytes::<Message>(&buffer[..length]) {
         Ok(Message::Report(report)) => {
           for group in self.groups.iter_mut().filter(|group| group.leads(now)) {
-            group.plan.report(now, from, report.clone());
+            group.plan.receive_report(now, from, report.clone());
           }
         }
         Ok(Message::Update(update)) => self.hear(now, update, from),
@@ -419,7 +419,9 @@
             "adapter" => &command.model.adapter, "orders" => command.orders,
             "term" => command.term, "taken" => format!("{taken:?}"));
           self.hub.measures.order(command.act, taken);
-          self.groups[index].plan.ordered(now, &command, taken);
+          self.groups[index]
+            .plan
+            .record_order_result(now, &command, taken);
         }
         Done::Policies(objects) => self.take_policies(now, objects),
         Done::Quarantine(call, result) => self.take_quarantine(now, &call, result),
@@ -431,7 +433,9 @@
             info!(self.hub.log, "server did not say what it holds"; "server" => &id,
               "why" => format!("{unheard:?}"));
           }
-          self.groups[index].plan.inventory(now, &id, inventory);
+          self.groups[index]
+            .plan
+            .receive_inventory(now, &id, inventory);
         }
       }
     }
@@ -465,13 +469,13 @@
     if result.is_ok() {
       self.hub.gates.contact.reach(Moment::now());
       // Others learn of the renewal at once.
-      group.plan.publish_soon();
+      group.plan.request_publish();
     }
     if group.lease.answered(now, call, result) {
       let term = group.lease.term(now).unwrap_or_default();
       self.hub.measures.lease();
       info!(self.hub.log, "lease taken"; "lease" => &group.name, "term" => term);
-      group.plan.begin(now, term);
+      group.plan.start_term(now, term);
       // Those of an earlier holding may be old.
       self.policies_at = now;
       if self.policies_until == u64::MAX {
@@ -554,7 +558,7 @@
       }
     }
     for group in &mut self.groups {
-      group.plan.policies(policies.clone());
+      group.plan.update_policies(policies.clone());
     }
   }
 
@@ -610,7 +614,7 @@
     }
     group
       .plan
-      .order(group.holding && now >= self.policies_until);
+      .set_ordering(group.holding && now >= self.policies_until);
     self.feed_plan(index);
     let began = Moment::now();
     let effects = self.groups[index].plan.step(now);
@@ -619,9 +623,9 @@
     for effect in effects {
       match effect {
         Effect::Order(command) => self.order(index, command),
-        Effect::Ask { id, address } => self.ask(index, id, address),
+        Effect::Query { id, address } => self.ask(index, id, address),
         Effect::Publish(update) => self.publish(index, &update),
-        Effect::Note {
+        Effect::Log {
           what,
           server,
           model,
@@ -651,14 +655,14 @@
         .filter(|(id, _)| mine(id))
         .map(|(_, key)| state.backends[*key].found())
         .collect();
-      group.plan.servers(deployment, specs);
+      group.plan.update_servers(deployment, specs);
     }
     if groups > 1 {
       let others = state.ids.iter().filter(|(id, _)| !mine(id));
       let others = others.map(|(id, key)| other(backend::group(id, groups), &state.backends[*key]));
-      group.plan.others(others.collect());
+      group.plan.update_other_servers(others.collect());
     }
-    group.plan.limited(&state.limits.servers().collect());
+    group.plan.update_limited(&state.limits.servers().collect());
     group.seen = counts;
   }
 
@@ -684,7 +688,7 @@
 }
 
 /// A server of another group, as this instance knows it.
-fn other(group: u32, backend: &Backend) -> Other {
+fn other(group: u32, backend: &Backend) -> OtherServer {
   let (mut models, spec) = match &backend.holding {
     Some(holding) => (holding.models.clone(), &backend.spec),
     None => (backend.spec.models.clone(), &backend.spec),
@@ -697,7 +701,7 @@
     models.clear();
   }
   let copies = spec.in_memory.iter().chain(&spec.on_disk);
-  Other {
+  OtherServer {
     group,
     pool: spec.pool.clone(),
     models,
--- a/src/replication.rs
+++ b/src/replication.rs
@@ -2,7 +2,7 @@
 //! where the one before ends, so that a lost one is noticed and only what it carried is
 //! sent again.
 
-use crate::{backend::Holding, placement::plan::Holdings};
+use crate::{backend::Holding, placement::plan::Publication};
 
 /// Holdings in one datagram.
 const HOLDINGS: usize = 6;
@@ -17,7 +17,7 @@
 }
 
 /// The parts of an update, one at least.
-pub fn parts(update: &Holdings) -> Vec<Part> {
+pub fn parts(update: &Publication) -> Vec<Part> {
   let mut parts: Vec<Part> = Vec::new();
   let mut since = update.since;
   for chunk in update.holdings.chunks(HOLDINGS) {
--- a/stand-ins/src/replay.rs
+++ b/stand-ins/src/replay.rs
@@ -11,7 +11,7 @@
   deployment::{Checkpoint, Deployment, Engine, Pool},
   life::Life,
   placement::{
-    plan::{Effect, Holdings, Plan, Report},
+    plan::{Effect, Plan, Publication, Report},
     urgency::Wait,
   },
   strain::Seen,
@@ -218,7 +218,7 @@
   later: BinaryHeap<Reverse<(u64, u64, Later)>>,
   count: u64,
   commands: Vec<Command>,
-  updates: Vec<Holdings>,
+  updates: Vec<Publication>,
   next_request: f64,
   next_popular: f64,
   /// Parts of their objectives that requests for the popular model spent at servers, by instance.
@@ -300,7 +300,7 @@
       server.spec.models = held.map(|name| (name.clone(), Vec::new())).collect();
     }
     let mut replay = Self {
-      plan: Plan::open("10.0.0.1", 0, 5_000, 1.0),
+      plan: Plan::new("10.0.0.1", 0, 5_000, 1.0),
       size,
       trouble: Trouble::default(),
       deployment: Arc::new(deployment(&size)),
@@ -347,8 +347,8 @@
   /// A holder begins, and knows nothing.
   fn take_over(&mut self) {
     self.term += 1;
-    self.plan = Plan::open("10.0.0.1", 0, 5_000, 1.0);
-    self.plan.begin(self.now, self.term);
+    self.plan = Plan::new("10.0.0.1", 0, 5_000, 1.0);
+    self.plan.start_term(self.now, self.term);
     self.list();
   }
 
@@ -356,7 +356,7 @@
   fn list(&mut self) {
     let there = self.servers.values().filter(|server| !server.lost);
     let specs = there.map(|server| server.spec.clone()).collect();
-    self.plan.servers(self.deployment.clone(), specs);
+    self.plan.update_servers(self.deployment.clone(), specs);
     self.due = 0;
   }
 
@@ -558,7 +558,7 @@
           false => self.trouble.unload_ms.unwrap_or(UNLOAD_MS),
         };
         let taken = server.carry_out(self.now, &command, unload_ms);
-        self.plan.ordered(self.now, &command, taken);
+        self.plan.record_order_result(self.now, &command, taken);
         self.due = 0;
       }
       Later::Ask(id) => {
@@ -567,7 +567,7 @@
           true => Err(Unheard::Ended),
           false => Ok(server.report(self.now)),
         };
-        self.plan.inventory(self.now, &id, inventory);
+        self.plan.receive_inventory(self.now, &id, inventory);
         self.due = 0;
       }
       Later::Update(number) => self.take_update(number),
@@ -668,7 +668,7 @@
       resting: Vec::new(),
     };
     let address = SocketAddr::from(([10, 1, (instance >> 8) as u8, instance as u8], 7_000));
-    self.plan.report(now, address, report);
+    self.plan.receive_report(now, address, report);
     self.due = 0;
   }
 
@@ -684,7 +684,7 @@
     for effect in effects {
       self.effect(effect);
     }
-    self.due = self.plan.due(self.now);
+    self.due = self.plan.next_step_at(self.now);
   }
 
   fn effect(&mut self, effect: Effect) {
@@ -705,7 +705,7 @@
         let number = self.commands.len() - 1;
         self.later(ORDER_MS, Later::Order(number));
       }
-      Effect::Ask { id, .. } => self.later(ORDER_MS, Later::Ask(id)),
+      Effect::Query { id, .. } => self.later(ORDER_MS, Later::Ask(id)),
       Effect::Publish(update) => {
         self.outcome.holdings += update.holdings.len();
         self.updates.push(update);
@@ -716,7 +716,7 @@
           .map_or(UPDATE_MS, |popular| popular.update_ms);
         self.later(update_ms, Later::Update(number));
       }
-      Effect::Note {
+      Effect::Log {
         what: "load",
         model,
         ..
@@ -726,7 +726,7 @@
         }
         self.decided.insert(model, self.now);
       }
-      Effect::Note { .. } => {}
+      Effect::Log { .. } => {}
     }
   }
 }
@@ -737,8 +737,8 @@
   Duration::new(time.tv_sec as u64, time.tv_nsec as u32)
 }
 
-fn nothing() -> Holdings {
-  Holdings {
+fn nothing() -> Publication {
+  Publication {
     to: None,
     since: 0,
     latest: 0,
--- a/tests/holder/mod.rs
+++ b/tests/holder/mod.rs
@@ -78,7 +78,7 @@
 
 impl World {
   pub fn open(models: &[&str], servers: &[(&str, &[&str], &[&str])]) -> Self {
-    let mut plan = Plan::open("10.0.0.1", 0, 5_000, 1.0);
+    let mut plan = Plan::new("10.0.0.1", 0, 5_000, 1.0);
     let pool = Pool {
       engine: Some(Arc::new(engine(models))),
     };
@@ -116,10 +116,10 @@
         (id.to_string(), server)
       })
       .collect();
-    plan.begin(0, 1);
+    plan.start_term(0, 1);
     let specs = servers.values().map(|server| server.spec.clone()).collect();
     let deployment = Arc::new(deployment);
-    plan.servers(deployment.clone(), specs);
+    plan.update_servers(deployment.clone(), specs);
     Self {
       plan,
       deployment,
@@ -148,7 +148,7 @@
       server.spec.models = server.held.clone();
       server.spec.clone()
     });
-    self.plan.servers(deployment, specs.collect());
+    self.plan.update_servers(deployment, specs.collect());
   }
 
   pub fn report(&mut self) {
@@ -183,7 +183,7 @@
       strain: self.strain.clone(),
     };
     let address = "127.0.0.1:1".parse().unwrap();
-    self.plan.report(self.now, address, report);
+    self.plan.receive_report(self.now, address, report);
   }
 
   /// Lets time pass; orders are carried out, questions answered.
@@ -195,8 +195,8 @@
       for effect in self.plan.step(self.now) {
         match effect {
           Effect::Order(command) => self.order(command),
-          Effect::Ask { id, .. } => self.ask(&id),
-          Effect::Publish(_) | Effect::Note { .. } => {}
+          Effect::Query { id, .. } => self.ask(&id),
+          Effect::Publish(_) | Effect::Log { .. } => {}
         }
       }
     }
@@ -208,7 +208,7 @@
       Some(fate) => fate,
       None => self.carry_out(&command),
     };
-    self.plan.ordered(self.now, &command, taken);
+    self.plan.record_order_result(self.now, &command, taken);
   }
 
   pub fn carry_out(&mut self, command: &Command) -> Taken {
@@ -258,7 +258,7 @@
       return;
     }
     if self.ended.contains(id) {
-      return self.plan.inventory(now, id, Err(Unheard::Ended));
+      return self.plan.receive_inventory(now, id, Err(Unheard::Ended));
     }
     let server = self.servers.get_mut(id).unwrap();
     server.finish(now);
@@ -270,7 +270,7 @@
       queued: 0,
       running: 0,
     };
-    self.plan.inventory(now, id, Ok(inventory));
+    self.plan.receive_inventory(now, id, Ok(inventory));
   }
 
   /// The life in which an instance knows a server: the current one.
--- a/tests/lives.rs
+++ b/tests/lives.rs
@@ -11,7 +11,7 @@
   demand::Model,
   deployment::Engine,
   dispatch::{Ask, Change, Effect, End, Event, State},
-  placement::plan::{Effect as Planned, Holdings},
+  placement::plan::{Effect as Planned, Publication},
   route::Repeat,
 };
 use holder::World;
@@ -40,8 +40,8 @@
     for effect in world.plan.step(world.now) {
       match effect {
         Planned::Order(command) => return command,
-        Planned::Ask { id, .. } => world.ask(&id),
-        Planned::Publish(_) | Planned::Note { .. } => {}
+        Planned::Query { id, .. } => world.ask(&id),
+        Planned::Publish(_) | Planned::Log { .. } => {}
       }
     }
   }
@@ -63,11 +63,11 @@
 /// Models that the holder publishes for the server.
 fn published(world: &mut World) -> Vec<String> {
   world.now += 1_000;
-  world.plan.publish_soon();
+  world.plan.request_publish();
   let mut models = Vec::new();
   let effects = world.plan.step(world.now);
   for effect in &effects {
-    if let Planned::Publish(Holdings { holdings, .. }) = effect {
+    if let Planned::Publish(Publication { holdings, .. }) = effect {
       for (_, holding) in holdings.iter().filter(|(_, holding)| holding.id == "one") {
         models = holding.models.keys().cloned().collect();
       }
@@ -83,7 +83,9 @@
   let order = next_order(&mut world);
   world.restart("one", SECOND);
   world.list(&["one"]);
-  world.plan.ordered(world.now, &order, Taken::Accepted);
+  world
+    .plan
+    .record_order_result(world.now, &order, Taken::Accepted);
   world.run(3_000);
   let first = world.orders.first().map(|order| order.orders);
   assert_eq!(
@@ -119,7 +121,7 @@
   world.list(&["one"]);
   world.run(500);
   let late = inventory(FIRST, &["a"], 5);
-  world.plan.inventory(world.now, "one", Ok(late));
+  world.plan.receive_inventory(world.now, "one", Ok(late));
   world.waiting = vec![("d".into(), 1)];
   world.run(2_000);
   assert!(world.holds("one", "d"), "{:?}", world.orders);
@@ -173,12 +175,14 @@
   let mut world = world();
   world.waiting = vec![("d".into(), 1)];
   let order = next_order(&mut world);
-  world.plan.begin(world.now, 2);
+  world.plan.start_term(world.now, 2);
   world.restart("one", SECOND);
   world.list(&["one"]);
-  world.plan.ordered(world.now, &order, Taken::Accepted);
+  world
+    .plan
+    .record_order_result(world.now, &order, Taken::Accepted);
   let late = inventory(FIRST, &["a"], 9);
-  world.plan.inventory(world.now, "one", Ok(late));
+  world.plan.receive_inventory(world.now, "one", Ok(late));
   world.run(3_000);
   assert!(world.holds("one", "d"), "{:?}", world.orders);
 }
--- a/tests/plan.rs
+++ b/tests/plan.rs
@@ -227,7 +227,7 @@
   let mut world = World::open(&["a"], &[("one", &["a"], &[])]);
   world.run(200);
   let asked = world.asked;
-  world.plan.begin(world.now, 2);
+  world.plan.start_term(world.now, 2);
   world.run(200);
   assert!(world.asked > asked);
 }
@@ -241,7 +241,7 @@
     "servers": { "matchLabels": { "server": "two" } } }"#;
   let keep =
     r#"{ "models": { "matchLabels": { "model": "a" } }, "minReplicas": 2, "maxReplicas": 9 }"#;
-  world.plan.policies(BTreeMap::from([
+  world.plan.update_policies(BTreeMap::from([
     ("only-two".into(), policy(only_two)),
     ("keep".into(), policy(keep)),
   ]));
@@ -276,9 +276,9 @@
         strain: Vec::new(),
       };
       let address = format!("127.0.0.1:{}", 2_000 + number).parse().unwrap();
-      world.plan.report(world.now, address, report);
+      world.plan.receive_report(world.now, address, report);
     }
-    world.plan.publish_soon();
+    world.plan.request_publish();
     let effects = world.plan.step(world.now);
     let update = effects.iter().filter_map(|effect| match effect {
       Effect::Publish(update) if update.to.is_some() => Some(update),
@@ -325,7 +325,7 @@
   world.waiting = vec![("d".into(), 1)];
   world.run(400);
   assert_eq!(world.loads(), [("one".to_string(), "d".to_string())]);
-  world.plan.order(false);
+  world.plan.set_ordering(false);
   world.waiting = vec![("e".into(), 1)];
   let mut told = false;
   for _ in 0..200 {
@@ -334,19 +334,19 @@
     for effect in world.plan.step(world.now) {
       match effect {
         Effect::Order(command) => panic!("ordered {command:?}"),
-        Effect::Ask { id, .. } => world.ask(&id),
+        Effect::Query { id, .. } => world.ask(&id),
         Effect::Publish(update) => {
           let held = update.holdings.iter();
           told |= held
             .clone()
             .any(|(_, holding)| holding.models.contains_key("d"));
         }
-        Effect::Note { .. } => {}
+        Effect::Log { .. } => {}
       }
     }
   }
   assert!(told);
-  world.plan.order(true);
+  world.plan.set_ordering(true);
   world.run(400);
   assert_eq!(world.loads()[1], ("one".to_string(), "e".to_string()));
 }
@@ -362,13 +362,13 @@
     world.now += 1;
     world.report();
     let effects = world.plan.step(world.now);
-    let load = |effect: &Effect| matches!(effect, Effect::Note { what: "load", .. });
+    let load = |effect: &Effect| matches!(effect, Effect::Log { what: "load", .. });
     planned = effects.iter().any(load);
   }
-  world.plan.order(false);
+  world.plan.set_ordering(false);
   world.run(600);
   assert!(world.orders.is_empty(), "{:?}", world.orders);
-  world.plan.order(true);
+  world.plan.set_ordering(true);
   world.run(200);
   assert_eq!(world.loads(), [("one".to_string(), "d".to_string())]);
 }
@@ -441,7 +441,7 @@
   );
   let two = r#"{ "models": { "matchLabels": { "model": "d" } }, "maxReplicas": 2 }"#;
   let policies = [("two".to_string(), serde_json::from_str(two).unwrap())];
-  world.plan.policies(policies.into_iter().collect());
+  world.plan.update_policies(policies.into_iter().collect());
   // So many that several loads at once would be begun.
   world.waiting = vec![("d".into(), 200)];
   assert_eq!(most_of_d(&mut world, 3_000), 2);
@@ -461,7 +461,7 @@
   );
   let two = r#"{ "models": { "matchLabels": { "model": "d" } }, "maxReplicas": 2 }"#;
   let policies = [("two".to_string(), serde_json::from_str(two).unwrap())];
-  world.plan.policies(policies.into_iter().collect());
+  world.plan.update_policies(policies.into_iter().collect());
   world.run(500);
   world.waiting = vec![("d".into(), 6)];
   world
@@ -501,7 +501,7 @@
 fn a_load_under_way_counts_for_the_bound_when_its_servers_entry_is_back() {
   let mut world = bounded_world();
   world.servers.get_mut("four").unwrap().held.remove("d");
-  world.plan.begin(world.now, 2);
+  world.plan.start_term(world.now, 2);
   while world.loads().is_empty() {
     world.run(10);
   }
@@ -519,15 +519,15 @@
   for id in ["three", "four"] {
     world.servers.get_mut(id).unwrap().spec.models.remove("d");
   }
-  world.plan = Plan::open("10.0.0.2", 0, 5_000, 1.0);
+  world.plan = Plan::new("10.0.0.2", 0, 5_000, 1.0);
   let two = r#"{ "models": { "matchLabels": { "model": "d" } }, "maxReplicas": 2 }"#;
   let policies = [("two".to_string(), serde_json::from_str(two).unwrap())];
-  world.plan.policies(policies.into_iter().collect());
-  world.plan.begin(world.now, 2);
+  world.plan.update_policies(policies.into_iter().collect());
+  world.plan.start_term(world.now, 2);
   let specs = world.servers.values().map(|server| server.spec.clone());
   world
     .plan
-    .servers(world.deployment.clone(), specs.collect());
+    .update_servers(world.deployment.clone(), specs.collect());
   world.unheard = ["three", "four"].map(String::from).into();
   world
 }
@@ -547,7 +547,9 @@
   let mut world = taken_over();
   world.run(100);
   for id in ["three", "four"] {
-    world.plan.inventory(world.now, id, Err(Unheard::Silent));
+    world
+      .plan
+      .receive_inventory(world.now, id, Err(Unheard::Silent));
   }
   world.run(800);
   assert!(world.loads().is_empty(), "{:?}", world.loads());
@@ -572,7 +574,9 @@
   for _ in 0..4 {
     world.run(300);
     for id in ["three", "four"] {
-      world.plan.inventory(world.now, id, Err(Unheard::Silent));
+      world
+        .plan
+        .receive_inventory(world.now, id, Err(Unheard::Silent));
     }
   }
   assert!(world.loads().is_empty(), "{:?}", world.loads());
@@ -599,7 +603,9 @@
     };
     // The second answer is to a question of whose answer nothing was known.
     for _ in 0..2 {
-      world.plan.inventory(world.now, id, Ok(busy.clone()));
+      world
+        .plan
+        .receive_inventory(world.now, id, Ok(busy.clone()));
     }
   }
   world.run(800);
@@ -614,15 +620,15 @@
   for pause in [10, 100, 400] {
     let mut world = World::open(&["a", "b", "c", "d"], &[("one", &["a", "b", "c"], &["d"])]);
     world.run(1_000);
-    world.plan.pace(pause);
-    world.plan.publish_soon();
+    world.plan.set_publish_interval(pause);
+    world.plan.request_publish();
     world.plan.step(world.now);
     world.waiting = vec![("d".into(), 1)];
     let mut published = None;
     let ordered = (0..200).find_map(|_| {
       world.now += 10;
       world.report();
-      world.plan.pace(pause);
+      world.plan.set_publish_interval(pause);
       let effects = world.plan.step(world.now);
       let lacks = |effect: &Effect| match effect {
         Effect::Publish(update) => update
@@ -661,13 +667,13 @@
   for _ in 0..600 {
     world.now += 10;
     world.report();
-    world.plan.pace(1_500);
+    world.plan.set_publish_interval(1_500);
     for effect in world.plan.step(world.now) {
       match effect {
         Effect::Publish(_) => published.push(world.now),
         Effect::Order(command) => world.order(command),
-        Effect::Ask { id, .. } => world.ask(&id),
-        Effect::Note { .. } => {}
+        Effect::Query { id, .. } => world.ask(&id),
+        Effect::Log { .. } => {}
       }
     }
   }
@@ -691,7 +697,7 @@
   world.run(300);
   assert!(world.orders.is_empty(), "its server takes what waits");
   let needy = world.servers["needy"].spec.life();
-  world.plan.limited(&BTreeSet::from([needy]));
+  world.plan.update_limited(&BTreeSet::from([needy]));
   for (until, model) in [(1_500, "d"), (2_700, "e")] {
     world.waiting = vec![(model.into(), 1)];
     world.run(until);
@@ -704,7 +710,7 @@
 fn a_server_in_need_takes_a_load_that_no_other_can_take() {
   let mut world = World::open(&["a", "d"], &[("needy", &["a"], &["d"])]);
   let needy = world.servers["needy"].spec.life();
-  world.plan.limited(&BTreeSet::from([needy]));
+  world.plan.update_limited(&BTreeSet::from([needy]));
   world.waiting = vec![("d".into(), 1)];
   world.run(1_500);
   assert_eq!(world.loads(), [("needy".to_string(), "d".to_string())]);
@@ -722,7 +728,7 @@
     world.now += 1;
     world.report();
     let effects = world.plan.step(world.now);
-    let load = |effect: &Effect| matches!(effect, Effect::Note { what: "load", server, .. } if server == "one");
+    let load = |effect: &Effect| matches!(effect, Effect::Log { what: "load", server, .. } if server == "one");
     planned = effects.iter().any(load);
   }
   world.servers.get_mut("one").unwrap().spec.stage = Stage::Draining;
--- a/tests/replication.rs
+++ b/tests/replication.rs
@@ -5,7 +5,7 @@
   backend::{Holding, Spec, Stage},
   command::Inventory,
   deployment::{Checkpoint, Deployment, Engine, Pool},
-  placement::plan::{Effect, Holdings, Plan, Report},
+  placement::plan::{Effect, Plan, Publication, Report},
   replication::{Fit, Known, parts},
 };
 use std::{
@@ -33,7 +33,7 @@
 
 impl Instance {
   /// Takes an update up, but for the datagrams that are lost.
-  fn hear(&mut self, update: &Holdings, lost: impl Fn(usize) -> bool) {
+  fn hear(&mut self, update: &Publication, lost: impl Fn(usize) -> bool) {
     for (number, part) in parts(update).into_iter().enumerate() {
       if lost(number) {
         continue;
@@ -125,10 +125,10 @@
 
 impl Holder {
   fn open() -> Self {
-    let mut plan = Plan::open("holder", 0, 5_000, 1.0);
-    plan.begin(0, TERM);
-    plan.servers(Arc::new(deployment()), (0..SERVERS).map(spec).collect());
-    plan.pace(0);
+    let mut plan = Plan::new("holder", 0, 5_000, 1.0);
+    plan.start_term(0, TERM);
+    plan.update_servers(Arc::new(deployment()), (0..SERVERS).map(spec).collect());
+    plan.set_publish_interval(0);
     let mut holder = Self {
       plan,
       now: 10_000,
@@ -137,7 +137,7 @@
     };
     holder
       .plan
-      .report(holder.now, address(), Instance::default().report());
+      .receive_report(holder.now, address(), Instance::default().report());
     holder
   }
 
@@ -158,22 +158,22 @@
       queued: 0,
       running: 0,
     };
-    self.plan.inventory(self.now, id, Ok(inventory));
+    self.plan.receive_inventory(self.now, id, Ok(inventory));
   }
 
   /// A step; gives what is published to all, and what to the instance alone.
-  fn step(&mut self) -> (Vec<Holdings>, Vec<Holdings>) {
+  fn step(&mut self) -> (Vec<Publication>, Vec<Publication>) {
     self.now += STEP_MS;
     let mut published = (Vec::new(), Vec::new());
     for effect in self.plan.step(self.now) {
       match effect {
-        Effect::Ask { id, .. } => self.answer(&id),
+        Effect::Query { id, .. } => self.answer(&id),
         Effect::Publish(update) if update.to.is_some() => {
           self.resent += update.holdings.len();
           published.1.push(update);
         }
         Effect::Publish(update) => published.0.push(update),
-        Effect::Order(_) | Effect::Note { .. } => {}
+        Effect::Order(_) | Effect::Log { .. } => {}
       }
     }
     published
@@ -186,7 +186,7 @@
   let mut reports: VecDeque<(u64, Report)> = VecDeque::new();
   for step in 0..steps {
     while let Some((_, report)) = reports.pop_front_if(|(at, _)| *at <= step) {
-      holder.plan.report(holder.now, address(), report);
+      holder.plan.receive_report(holder.now, address(), report);
     }
     // Each server another one than the last time.
     let model = ["m0", "m1", "m2"][step as usize / SERVERS % 3];
@@ -239,7 +239,9 @@
       .iter()
       .chain(&own)
       .for_each(|update| instance.hear(update, |_| false));
-    holder.plan.report(holder.now, address(), instance.report());
+    holder
+      .plan
+      .receive_report(holder.now, address(), instance.report());
   }
   agrees(&holder, &instance);
 }
@@ -250,7 +252,7 @@
     id: format!("s{number}"),
     ..Holding::default()
   };
-  let update = Holdings {
+  let update = Publication {
     to: None,
     since: 0,
     latest: 20,
