--- a/src/admit.rs
+++ b/src/admit.rs
@@ -31,16 +31,16 @@
     let mut request = Request {
       group: None,
       attempts: 0,
-      at: None,
+      running_on: None,
       address: None,
       verdict: Verdict::NotRun,
       arrived: self.now,
       sent: 0,
       cold: false,
-      ask,
+      descriptor: ask,
     };
-    let ticket = request.ask.ticket;
-    let work = request.ask.work.clone();
+    let ticket = request.descriptor.ticket;
+    let work = request.descriptor.work.clone();
     match work {
       _ if self.stopping => self.turn_away(request, Reason::Stopping, RETRY_AFTER_MS),
       _ if !self.configured => self.turn_away(request, Reason::PlatformUnavailable, RETRY_AFTER_MS),
@@ -60,7 +60,7 @@
           self.turn_away(request, Reason::UnknownModel, 0);
           return;
         };
-        let policy = self.ruling(spec, request.ask.caller);
+        let policy = self.effective_policy(spec, request.descriptor.caller);
         let group = self.group(&model, &policy);
         request.group = Some(group);
         self.admit(group, request);
@@ -69,30 +69,30 @@
   }
 
   fn turn_away(&mut self, request: Request, reason: Reason, retry_after: u64) {
-    let ticket = request.ask.ticket;
+    let ticket = request.descriptor.ticket;
     self.requests.insert(ticket, request);
     self.refuse(ticket, reason, retry_after);
   }
 
   fn admit(&mut self, key: group::Key, mut request: Request) {
     let ready = self.has_ready(key);
-    let estimate = self.wait_estimate(key, request.ask.class, ready);
+    let estimate = self.wait_estimate(key, request.descriptor.class, ready);
     let group = &mut self.groups[key];
     if group.queue.len() >= self.limits.queue {
       self.turn_away(request, Reason::QueueFull, estimate.max(RETRY_AFTER_MS));
       return;
     }
-    if self.now + estimate > request.ask.deadline {
+    if self.now + estimate > request.descriptor.deadline {
       self.turn_away(request, Reason::TooLate, estimate.max(RETRY_AFTER_MS));
       return;
     }
     request.cold = !ready;
-    group.arrived += 1;
-    let ask = &request.ask;
+    group.unreported_arrivals += 1;
+    let ask = &request.descriptor;
     group.queue.insert((ask.class, ask.deadline, ask.ticket));
     self.requests.insert(ask.ticket, request);
     self.mark_active(key);
-    self.pump(key);
+    self.dispatch_queued(key);
   }
 
   /// Time until a request arriving now would be sent, ms.
@@ -131,7 +131,7 @@
       .iter()
       .filter(|replica| replica.target == Target::Loaded)
       .filter(|replica| replica.policy == group.policy || !ruled)
-      .filter(|replica| self.usable(&replica.server))
+      .filter(|replica| self.is_usable(&replica.server))
       .filter_map(|replica| Some((*self.server_keys.get(&replica.server)?, replica.id)))
       .filter(|(server, id)| self.servers[*server].ready(*id))
       .collect()
@@ -143,7 +143,7 @@
   }
 
   /// Sends what waits in a group as far as replicas have free slots.
-  pub fn pump(&mut self, key: group::Key) {
+  pub fn dispatch_queued(&mut self, key: group::Key) {
     while let Some(&(class, deadline, ticket)) = self.groups[key].queue.first() {
       let Some((server, replica)) = self.free_replica(key) else {
         return;
@@ -174,7 +174,7 @@
       Dispatch::Push => None,
     };
     match share {
-      Some(share) => i64::from(share) - i64::from(server.mine(id)),
+      Some(share) => i64::from(share) - i64::from(server.own_load(id)),
       None => slots - i64::from(server.load(id)),
     }
   }
@@ -186,24 +186,27 @@
     };
     request.attempts += 1;
     request.sent = now;
-    request.at = Some((server, replica));
+    request.running_on = Some((server, replica));
     let waited_ms = now - request.arrived;
     let first = request.attempts == 1;
     let cold = request.cold;
     let number = request.attempts;
-    *self.servers[server].mine.entry(replica).or_default() += 1;
+    *self.servers[server]
+      .own_requests
+      .entry(replica)
+      .or_default() += 1;
     let group = &mut self.groups[key];
     group.running += 1;
     let (model, policy) = (group.model.clone(), group.policy.clone());
     if first && cold {
       group.cold_ms = blend(group.cold_ms, waited_ms);
-      self.note(Entry::Cold {
+      self.log(Entry::Cold {
         model,
         policy,
         waited_ms,
       });
     } else if first {
-      self.note(Entry::Warm { policy, waited_ms });
+      self.log(Entry::Warm { policy, waited_ms });
     }
     let address = self.spec(&self.servers[server].name.clone());
     let address = address.map(|spec| spec.address.clone()).unwrap_or_default();
@@ -220,7 +223,7 @@
     let Some(request) = self.requests.get(&ticket) else {
       return;
     };
-    let Work::Service { service, .. } = &request.ask.work else {
+    let Work::Service { service, .. } = &request.descriptor.work else {
       return;
     };
     let Some(spec) = self.catalog.services.get(service) else {
@@ -268,7 +271,7 @@
     if request.attempts != number {
       return;
     }
-    let at = request.at.take();
+    let at = request.running_on.take();
     let held = self.now.saturating_sub(request.sent);
     let group = request.group;
     if let (Some((server, replica)), Some(key)) = (at, group) {
@@ -280,7 +283,7 @@
       End::Broken(verdict) => self.retry(ticket, verdict),
     }
     if let Some(key) = group {
-      self.pump(key);
+      self.dispatch_queued(key);
     }
   }
 
@@ -289,10 +292,10 @@
     let group = &mut self.groups[key];
     group.running = group.running.saturating_sub(1);
     let server = &mut self.servers[at];
-    if let Some(mine) = server.mine.get_mut(&id) {
+    if let Some(mine) = server.own_requests.get_mut(&id) {
       *mine = mine.saturating_sub(1);
       if *mine == 0 {
-        server.mine.remove(&id);
+        server.own_requests.remove(&id);
       }
     }
     match end {
@@ -306,7 +309,7 @@
 
   fn finish(&mut self, ticket: Ticket, end: End, answer: Option<(u16, Option<String>)>) {
     if let Some(request) = self.requests.remove(&ticket)
-      && let Work::Service { key: Some(key), .. } = request.ask.work
+      && let Work::Service { key: Some(key), .. } = request.descriptor.work
     {
       self.settle_claim(ticket, key, end, answer);
     }
@@ -318,7 +321,7 @@
     };
     request.verdict = request.verdict.and(verdict);
     let once = matches!(
-      request.ask.work,
+      request.descriptor.work,
       Work::Service {
         repeatable: false,
         ..
@@ -327,20 +330,24 @@
     let spent = request.attempts >= self.limits.attempts || self.retry_budget < RETRY_COST;
     // A declined attempt cost the server nothing, and waiting is bounded.
     let free = verdict == Verdict::NotRun && request.group.is_some();
-    let late = self.now >= request.ask.deadline && request.verdict == Verdict::NotRun;
+    let late = self.now >= request.descriptor.deadline && request.verdict == Verdict::NotRun;
     if late || (once && verdict == Verdict::MayHaveRun) || (spent && !free) {
       self.give_up(ticket, Reason::ServerFailed);
       return;
     }
     self.retry_budget = self.retry_budget.saturating_sub(RETRY_COST);
-    self.note(Entry::Retried { verdict });
+    self.log(Entry::Retried { verdict });
     let Some(request) = self.requests.get(&ticket) else {
       return;
     };
     match request.group {
       None => self.call_service(ticket),
       Some(key) => {
-        let entry = (request.ask.class, request.ask.deadline, ticket);
+        let entry = (
+          request.descriptor.class,
+          request.descriptor.deadline,
+          ticket,
+        );
         self.groups[key].queue.insert(entry);
         self.mark_active(key);
       }
@@ -349,7 +356,7 @@
 
   fn give_up(&mut self, ticket: Ticket, reason: Reason) {
     if let Some(request) = self.requests.get(&ticket)
-      && let Work::Service { key: Some(key), .. } = request.ask.work
+      && let Work::Service { key: Some(key), .. } = request.descriptor.work
     {
       let end = End::Broken(request.verdict);
       self.settle_claim(ticket, key, end, None);
@@ -364,7 +371,11 @@
     };
     let policy = match request.group {
       Some(key) => {
-        let entry = (request.ask.class, request.ask.deadline, ticket);
+        let entry = (
+          request.descriptor.class,
+          request.descriptor.deadline,
+          ticket,
+        );
         self.groups[key].queue.remove(&entry);
         self.groups[key].policy.clone()
       }
@@ -375,7 +386,7 @@
       verdict: request.verdict,
       retry_after: (retry_after > 0).then_some(retry_after),
     };
-    self.note(Entry::Refused {
+    self.log(Entry::Refused {
       policy,
       reason,
       verdict: refusal.verdict,
@@ -401,7 +412,8 @@
   /// The caller of a waiting request is gone; a running one ends by itself.
   pub fn on_caller_left(&mut self, ticket: Ticket) {
     let request = self.requests.get(&ticket);
-    let waits = request.is_some_and(|request| request.group.is_some() && request.at.is_none());
+    let waits =
+      request.is_some_and(|request| request.group.is_some() && request.running_on.is_none());
     if waits {
       self.refuse(ticket, Reason::CallerGone, 0);
     }
--- a/src/audit.rs
+++ b/src/audit.rs
@@ -52,7 +52,7 @@
     self.owned = owned;
     let servers = self.catalog.servers.keys();
     let tended = servers.filter(|name| self.owns(&format!("server/{name}")));
-    self.tended = tended.cloned().collect();
+    self.owned_servers = tended.cloned().collect();
     self.open_standing();
   }
 
@@ -88,7 +88,7 @@
   /// Whether a policy rules a model for some caller.
   fn rules(&self, name: &str, policy: &Policy, model: &Model) -> bool {
     let first = policy.slice.map_or(0, |slice| u64::from(slice.from));
-    self.ruling(model, first) == name
+    self.effective_policy(model, first) == name
   }
 
   /// Begins the reads that are due.
@@ -98,7 +98,7 @@
       .owned
       .iter()
       .filter(|(_, owned)| owned.audit_at <= now)
-      .filter(|(_, owned)| owned.asked_at.is_none_or(|at| at + LOST_MS < now))
+      .filter(|(_, owned)| owned.read_started_at.is_none_or(|at| at + LOST_MS < now))
       .map(|(model, _)| model.clone())
       .take(READS)
       .collect();
@@ -109,7 +109,7 @@
 
   /// Reads a record that a decision waits for, unless it is being read.
   pub fn audit_now(&mut self, model: &str) {
-    let idle = |owned: &Owned| owned.asked_at.is_none();
+    let idle = |owned: &Owned| owned.read_started_at.is_none();
     if self.owned.get(model).is_some_and(idle) {
       self.read_record(model.into());
     }
@@ -119,8 +119,8 @@
     let Some(owned) = self.owned.get_mut(&model) else {
       return;
     };
-    owned.asked_at = Some(self.now);
-    let urgent = !owned.seen;
+    owned.read_started_at = Some(self.now);
+    let urgent = !owned.record_read;
     self.emit(Effect::Update {
       tag: Tag::Audit {
         model: model.clone(),
@@ -139,7 +139,7 @@
     let Some(owned) = self.owned.get_mut(model) else {
       return;
     };
-    owned.asked_at = None;
+    owned.read_started_at = None;
     let Outcome::Applied(stored) = outcome else {
       owned.audit_at = soon;
       return;
@@ -231,7 +231,7 @@
       if age >= FORWARD_MS {
         self.retire(model, replica, "withdrawn");
       }
-    } else if wanted && self.usable(&replica.server) {
+    } else if wanted && self.is_usable(&replica.server) {
       if age >= FORWARD_MS {
         self.start_job(model, replica, Step::Reserve, 0);
       }
@@ -244,10 +244,10 @@
   pub fn on_reported(&mut self, status: Status) {
     let key = self.server(&status.server);
     let Some(report) = &status.report else {
-      self.servers[key].silent += 1;
+      self.servers[key].unanswered_polls += 1;
       return;
     };
-    self.servers[key].silent = 0;
+    self.servers[key].unanswered_polls = 0;
     let version = Version(report.boot, report.seq);
     let residence = Body::Residence {
       residents: report
@@ -298,7 +298,7 @@
 
   /// Asks the engines this instance looks after for their status.
   pub fn poll_servers(&mut self) {
-    for name in self.tended.clone() {
+    for name in self.owned_servers.clone() {
       if self.listed(&name) == Listed::Gone {
         continue;
       }
@@ -321,7 +321,7 @@
 
   /// Reads the records of servers this instance looks after, from time to time.
   pub fn inspect_servers(&mut self) {
-    for name in self.tended.clone() {
+    for name in self.owned_servers.clone() {
       let key = self.server(&name);
       if self.servers[key].inspect_at > self.now {
         continue;
--- a/src/batches.rs
+++ b/src/batches.rs
@@ -293,7 +293,7 @@
   /// model, or when the deadline leaves no more time to wait for one.
   fn batch_class(&mut self, batch: &Batch) -> Option<Class> {
     let spec = self.catalog.models.get(&batch.model)?;
-    let policy = self.ruling(spec, batch.caller);
+    let policy = self.effective_policy(spec, batch.caller);
     let key = self.group(&batch.model, &policy);
     if self.now + self.batch_estimate(key, batch) * MARGIN >= batch.deadline {
       return Some(Class::Interactive);
@@ -323,7 +323,7 @@
     }
     self.emit(Effect::RunItem {
       id: id.into(),
-      at,
+      index: at,
       class,
       model: batch.model.clone(),
       prompt,
--- a/src/claims.rs
+++ b/src/claims.rs
@@ -141,7 +141,7 @@
   fn flush_claims(&mut self, shard: u32) {
     let owner = self.members.owner(&format!("claims/{shard}"));
     let owner = owner.filter(|owner| *owner != self.me.instance);
-    let address = owner.and_then(|owner| self.peer(owner));
+    let address = owner.and_then(|owner| self.peer_address(owner));
     let now = self.now;
     let gather = self.limits.claim_gather_ms;
     let Some(desk) = self.claims.desks.get_mut(&shard) else {
@@ -178,7 +178,7 @@
         changes,
       }),
       None => {
-        self.note(Entry::Claimed {
+        self.log(Entry::Claimed {
           grouped: count as u32,
         });
         self.emit(Effect::Update {
@@ -272,7 +272,7 @@
 
   fn claim_ended(&mut self, ticket: Ticket, shard: u32, change: Change, outcome: Outcome) {
     let waiting = self.requests.get(&ticket);
-    let timely = waiting.is_some_and(|request| request.ask.deadline > self.now);
+    let timely = waiting.is_some_and(|request| request.descriptor.deadline > self.now);
     match outcome {
       Outcome::Granted if timely => self.call_service(ticket),
       Outcome::Granted | Outcome::Unavailable => {
--- a/src/completions.rs
+++ b/src/completions.rs
@@ -116,7 +116,7 @@
     priority,
     resume: Vec::new(),
   };
-  shared.notify(Event::Asked(ask));
+  shared.notify(Event::RequestArrived(ask));
   loop {
     let attempt = match await_turn(shared, directives, ticket, deadline, reply) {
       Some(Directive::Send(attempt)) => attempt,
--- a/src/decide.rs
+++ b/src/decide.rs
@@ -25,7 +25,10 @@
   /// Decides whether a group needs a further replica.
   pub fn decide(&mut self, key: group::Key) {
     let model = self.groups[key].model.clone();
-    let known = self.owned.get(&model).is_some_and(|owned| owned.seen);
+    let known = self
+      .owned
+      .get(&model)
+      .is_some_and(|owned| owned.record_read);
     if self.stopping || self.groups[key].hold_until > self.now {
       return;
     }
@@ -96,7 +99,7 @@
       target: Target::Loaded,
       policy: policy.clone(),
     };
-    self.note(Entry::Decided {
+    self.log(Entry::Decided {
       model: model.clone(),
       replica: id.to_string(),
       server,
@@ -115,7 +118,7 @@
     let Some(spec) = self.catalog.models.get(&base) else {
       return;
     };
-    let policy = self.ruling(spec, 0);
+    let policy = self.effective_policy(spec, 0);
     let waiting = self.groups[key].waiting(self.now).max(1);
     let from = format!("{}:{model}", self.me.instance);
     self.tell_for(&from, &base, &policy, waiting);
@@ -141,7 +144,7 @@
           at: self.now,
         };
         let key = self.group(model, policy);
-        self.groups[key].state(from, demand, waiting);
+        self.groups[key].record_demand(from, demand, waiting);
         self.mark_active(key);
         self.decide(key);
       }
@@ -152,7 +155,11 @@
   /// leave.
   pub fn let_go(&mut self, key: group::Key) {
     let model = self.groups[key].model.clone();
-    if !self.owned.get(&model).is_some_and(|owned| owned.seen) {
+    if !self
+      .owned
+      .get(&model)
+      .is_some_and(|owned| owned.record_read)
+    {
       return;
     }
     let replicas = self.placement(&model).to_vec();
@@ -162,7 +169,7 @@
     for replica in replicas {
       let idle = replica.policy == policy_name && self.idle_out(key, &policy.keep_alive);
       let spare = kept > policy.min_replicas;
-      let leaving = !self.usable(&replica.server);
+      let leaving = !self.is_usable(&replica.server);
       let why = match () {
         () if replica.target == Target::Gone => "withdrawn",
         () if leaving => "server leaving",
@@ -190,7 +197,7 @@
     if due {
       let ms = std::mem::take(&mut group.idle_ms);
       let (model, policy) = (group.model.clone(), group.policy.clone());
-      self.note(Entry::Idle { model, policy, ms });
+      self.log(Entry::Idle { model, policy, ms });
     }
   }
 
@@ -239,12 +246,12 @@
   /// Starts letting a replica go, unless a job is at work on it already.
   pub fn retire(&mut self, model: &str, replica: Replica, why: &str) {
     if let Some(job) = self.jobs.get_mut(&replica.id) {
-      if job.loads() && job.step != Step::Settle && why == "server leaving" {
-        job.give_up = self.now;
+      if job.is_loading() && job.step != Step::Deregister && why == "server leaving" {
+        job.load_deadline = self.now;
       }
       return;
     }
-    self.note(Entry::Retiring {
+    self.log(Entry::Retiring {
       model: model.into(),
       replica: replica.id.to_string(),
       server: replica.server.clone(),
@@ -270,7 +277,7 @@
   }
 
   /// Decides again for a model on a server whose state changed.
-  pub fn touch_model(&mut self, model: &str) {
+  pub fn recheck_model(&mut self, model: &str) {
     let groups: Vec<group::Key> = self
       .active
       .iter()
--- a/src/effect.rs
+++ b/src/effect.rs
@@ -34,7 +34,7 @@
   /// Run one item of a batch.
   RunItem {
     id: String,
-    at: usize,
+    index: usize,
     class: Class,
     model: String,
     prompt: String,
@@ -83,7 +83,7 @@
   /// Make at most this many platform calls a second.
   Rate(u32),
   /// Record a change of state.
-  Note(Entry),
+  Log(Entry),
   /// Nothing is left to do before the end.
   Stopped,
 }
--- a/src/event.rs
+++ b/src/event.rs
@@ -64,11 +64,11 @@
   /// Time has passed.
   Tick,
   /// A caller's request arrived.
-  Asked(Ask),
+  RequestArrived(Ask),
   /// The caller of a waiting request has gone.
   CallerLeft { ticket: Ticket },
   /// An attempt ended.
-  Ended {
+  AttemptEnded {
     ticket: Ticket,
     number: u32,
     end: End,
@@ -76,7 +76,7 @@
     answer: Option<(u16, Option<String>)>,
   },
   /// A caller submits, polls or cancels a batch.
-  BatchAsked {
+  BatchRequested {
     ticket: Ticket,
     id: String,
     change: Option<crate::batch::Change>,
@@ -84,7 +84,7 @@
   /// One item of a batch run by this instance has its outcome.
   ItemEnded {
     id: String,
-    at: usize,
+    index: usize,
     item: crate::batch::Item,
   },
   /// An update or read of the platform ended.
@@ -94,7 +94,7 @@
     outcome: update::Outcome,
   },
   /// An order to an engine ended.
-  Ordered {
+  OrderEnded {
     replica: Id,
     step: u64,
     outcome: order::Outcome,
@@ -117,7 +117,7 @@
   /// Notices came from another instance.
   Notified { from: String, items: Vec<Notice> },
   /// Another instance asks for claims in a shard and waits.
-  ClaimAsked {
+  ClaimsRequested {
     call: Call,
     shard: u32,
     changes: Vec<claim::Change>,
--- a/src/gossip.rs
+++ b/src/gossip.rs
@@ -104,7 +104,7 @@
   /// Starts the exchanges that are due.
   pub fn gossip(&mut self) {
     for peer in self.members.neighbours.clone() {
-      if let Some(address) = self.peer(&peer) {
+      if let Some(address) = self.peer_address(&peer) {
         self.exchange(&peer, &address);
       }
     }
@@ -272,7 +272,7 @@
     };
     let rank = version.1 / 4 * 4 + health as u64;
     let version = Version(version.0, rank);
-    self.note(Entry::Member {
+    self.log(Entry::Member {
       instance: peer.into(),
       state: format!("{health:?}").to_lowercase(),
     });
--- a/src/group.rs
+++ b/src/group.rs
@@ -32,7 +32,7 @@
 /// How long a share or a report of demand holds, ms.
 pub const SOFT_STATE_MS: u64 = 1_500;
 /// Pause between two reports of unchanged demand, ms.
-pub const REPORT_MS: u64 = 400;
+pub const DEMAND_REPORT_INTERVAL_MS: u64 = 400;
 
 /// A model under a policy.
 #[derive(Clone, Debug, Default)]
@@ -44,7 +44,7 @@
   /// Requests of this instance at replicas.
   pub running: u32,
   /// Arrivals not yet reported to the owner.
-  pub arrived: u32,
+  pub unreported_arrivals: u32,
   /// Demand last reported to the owner.
   pub reported: Demand,
   /// Shares given to this instance.
@@ -56,7 +56,7 @@
   /// As the owner: demand by instance.
   pub demand: BTreeMap<String, Demand>,
   /// As the owner: shares given, by replica and instance.
-  pub given: BTreeMap<(Id, String), Share>,
+  pub granted_shares: BTreeMap<(Id, String), Share>,
   /// As the owner: last use anywhere, ms; 0: never since this instance owns it.
   pub last_use: u64,
   pub history: History,
@@ -84,7 +84,7 @@
   }
 
   /// Takes up a report of demand.
-  pub fn state(&mut self, from: &str, demand: Demand, arrived: u32) {
+  pub fn record_demand(&mut self, from: &str, demand: Demand, arrived: u32) {
     let idle = !self.in_use(demand.at);
     if arrived > 0 && idle && self.last_use > 0 {
       self.history.add(demand.at.saturating_sub(self.last_use));
--- a/src/instance.rs
+++ b/src/instance.rs
@@ -90,7 +90,7 @@
     let (finished, stopped) = channel();
     watchers::spawn(&shared)?;
     let hands = Hands::open(shared.clone(), port)?;
-    let state = State::open(me, shared.settings.limits.clone(), rand::random(), boot);
+    let state = State::new(me, shared.settings.limits.clone(), rand::random(), boot);
     let builder = thread::Builder::new().name("reducer".into());
     builder.spawn(move || run(state, &hands, &inputs, &finished))?;
     Ok(Self {
@@ -200,7 +200,7 @@
           true => engine::order(&order, &shared.settings.limits),
           false => order::Outcome::NotSent,
         };
-        shared.notify(Event::Ordered {
+        shared.notify(Event::OrderEnded {
           replica,
           step,
           outcome,
@@ -211,7 +211,7 @@
         let report = engine::status(&address, &shared.settings.limits);
         shared.notify(Event::Reported(order::Status {
           server,
-          asked_at,
+          requested_at: asked_at,
           report,
         }));
       }),
@@ -231,7 +231,7 @@
       Effect::ClaimAnswer { call, outcomes } => self.port.answer_claims(call, outcomes),
       Effect::Watch(on) => shared.watching.store(on, Ordering::Relaxed),
       Effect::Rate(rate) => shared.platform.set_rate(rate),
-      Effect::Note(entry) => shared.note(entry),
+      Effect::Log(entry) => shared.note(entry),
       Effect::Stopped => {}
     }
   }
@@ -239,7 +239,7 @@
   fn run_item(&self, effect: Effect) {
     let Effect::RunItem {
       id,
-      at,
+      index: at,
       class,
       model,
       prompt,
@@ -265,13 +265,17 @@
         };
         let item = completions::run_item(&shared, ask, &directives, prompt, max_tokens);
         shared.close_ticket(ticket);
-        shared.notify(Event::ItemEnded { id, at, item });
+        shared.notify(Event::ItemEnded {
+          id,
+          index: at,
+          item,
+        });
       }
     };
     if builder.spawn(run).is_err() {
       shared.notify(Event::ItemEnded {
         id,
-        at,
+        index: at,
         item: Item::Waiting,
       });
     }
--- a/src/job.rs
+++ b/src/job.rs
@@ -20,7 +20,7 @@
   /// Wait until the engine shows the replica ready.
   AwaitReady,
   /// Leave the list of possible senders of orders.
-  Settle,
+  Deregister,
   /// Withdraw the decision.
   Retire,
   /// Wait until no instance sends requests to the replica.
@@ -50,28 +50,28 @@
   /// Failures in a row.
   pub failures: u32,
   /// When the current step began, ms.
-  pub since: u64,
+  pub step_started_at: u64,
   /// When the job began, ms.
-  pub began: u64,
+  pub started_at: u64,
   /// Time after which loading is given up, ms.
-  pub give_up: u64,
+  pub load_deadline: u64,
   /// The job began with the decision, so the replica served nobody before.
-  pub reserving: bool,
+  pub is_new: bool,
   /// Newest fencing number; 0 before the reservation.
   pub fence: u64,
   /// Time until which an order of this instance may still arrive, ms.
-  pub unsure_until: u64,
+  pub in_flight_until: u64,
   /// Most replicas under the policy, for the decision.
   pub limit: u32,
   /// Senders of orders known to have ended.
-  pub ended: Vec<String>,
+  pub ended_orderers: Vec<String>,
   /// When the decision was last asked for, ms.
-  pub read_at: u64,
+  pub decision_read_at: u64,
 }
 
 impl Job {
   /// Whether the job loads rather than unloads.
-  pub fn loads(&self) -> bool {
+  pub fn is_loading(&self) -> bool {
     self.step < Step::Retire
   }
 }
--- a/src/jobs.rs
+++ b/src/jobs.rs
@@ -38,15 +38,15 @@
       number: 0,
       due: self.now,
       failures: 0,
-      since: self.now,
-      began: self.now,
-      give_up: self.now + self.limits.load_ms,
-      reserving: step == Step::Decide,
+      step_started_at: self.now,
+      started_at: self.now,
+      load_deadline: self.now + self.limits.load_ms,
+      is_new: step == Step::Decide,
       fence: 0,
-      unsure_until: 0,
+      in_flight_until: 0,
       limit,
-      ended: Vec::new(),
-      read_at: 0,
+      ended_orderers: Vec::new(),
+      decision_read_at: 0,
     };
     self.jobs.insert(id, job);
     self.advance(id);
@@ -57,7 +57,7 @@
     let now = self.now;
     if let Some(job) = self.jobs.get_mut(&id) {
       if job.step != step {
-        job.since = now;
+        job.step_started_at = now;
       }
       job.step = step;
       job.failures = 0;
@@ -107,7 +107,7 @@
       if let Some(step) = back {
         // The order may have gone out: only a fresh look may repeat it.
         job.step = step;
-        job.unsure_until = job.unsure_until.max(until);
+        job.in_flight_until = job.in_flight_until.max(until);
       }
     }
     self.advance(id);
@@ -122,7 +122,7 @@
     job.number += 1;
     job.due = now + LOST_MS;
     let step = job.step;
-    if job.loads() && step != Step::Settle && now >= job.give_up {
+    if job.is_loading() && step != Step::Deregister && now >= job.load_deadline {
       self.give_up_load(id);
       return;
     }
@@ -133,7 +133,7 @@
       Step::Verify => self.read_decision(id),
       Step::Load => self.order(id, Step::Load),
       Step::MakeRoom | Step::AwaitReady | Step::AwaitGone => self.ask_engine(id),
-      Step::Settle => self.settle(id),
+      Step::Deregister => self.settle(id),
       Step::Retire => self.withdraw(id),
       Step::Drain => self.drain(id),
       Step::Unreserve => self.unreserve(id),
@@ -147,7 +147,7 @@
     let Some(job) = self.jobs.get(&id) else {
       return;
     };
-    self.note(Entry::Retiring {
+    self.log(Entry::Retiring {
       model: job.model.clone(),
       replica: id.to_string(),
       server: job.replica.server.clone(),
@@ -164,7 +164,7 @@
       Kind::ModelRecord => job.model.clone(),
       _ => job.replica.server.clone(),
     };
-    let urgent = job.step != Step::Settle;
+    let urgent = job.step != Step::Deregister;
     let tag = Tag::Job {
       replica: id,
       step: job.number,
@@ -212,7 +212,7 @@
   fn read_decision(&mut self, id: Id) {
     let now = self.now;
     if let Some(job) = self.jobs.get_mut(&id) {
-      job.read_at = now;
+      job.decision_read_at = now;
     }
     self.update(id, Kind::ModelRecord, None);
   }
@@ -239,11 +239,11 @@
 
   fn unreserve(&mut self, id: Id) {
     let orderer = self.orderer();
-    let unsure_until = self.jobs.get(&id).map(|job| job.unsure_until);
+    let unsure_until = self.jobs.get(&id).map(|job| job.in_flight_until);
     let change = ledger::Change::Unload {
       replica: id,
       orderer,
-      settled: unsure_until.unwrap_or_default() <= self.now,
+      deregister: unsure_until.unwrap_or_default() <= self.now,
     };
     self.update(id, Kind::ServerRecord, Some(Change::Server(change)));
   }
@@ -252,12 +252,12 @@
     let orderer = self.orderer();
     let now = self.now;
     if let Some(job) = self.jobs.get_mut(&id)
-      && job.unsure_until > now
+      && job.in_flight_until > now
     {
-      job.due = job.unsure_until;
+      job.due = job.in_flight_until;
       return;
     }
-    let change = ledger::Change::Settle {
+    let change = ledger::Change::Deregister {
       replica: id,
       orderer,
     };
@@ -275,12 +275,12 @@
     let Some(job) = self.jobs.get_mut(&id) else {
       return;
     };
-    if !gone && !fenced && job.unsure_until > now {
-      job.due = job.unsure_until;
+    if !gone && !fenced && job.in_flight_until > now {
+      job.due = job.in_flight_until;
       job.step = Step::AwaitGone;
       return;
     }
-    let orderers = job.ended.clone();
+    let orderers = job.ended_orderers.clone();
     let change = ledger::Change::Release {
       replica: id,
       orderer: self.orderer(),
@@ -301,7 +301,7 @@
     };
     let (model, server) = (job.model.clone(), job.replica.server.clone());
     let (fence, number) = (job.fence, job.number);
-    let job_read_at = job.read_at;
+    let job_read_at = job.decision_read_at;
     let spec = self.catalog.models.get(&model);
     let base = spec.and_then(|spec| spec.base.clone());
     let memory_mb = spec.map(|spec| spec.memory_mb).unwrap_or_default();
@@ -320,7 +320,7 @@
     if step == Step::Load {
       let replica = id.to_string();
       let server = server.clone();
-      self.note(Entry::Ordered {
+      self.log(Entry::Ordered {
         model,
         replica,
         server,
--- a/src/learn.rs
+++ b/src/learn.rs
@@ -43,9 +43,9 @@
       (Key::Load(server), Body::Load(loads)) => {
         let key = self.server(server);
         let server = &mut self.servers[key];
-        server.others = loads
+        server.peer_requests = loads
           .into_iter()
-          .map(|(id, running)| (id, running.saturating_sub(server.mine(id))))
+          .map(|(id, running)| (id, running.saturating_sub(server.own_load(id))))
           .collect();
         self.pump_waiting();
       }
@@ -61,7 +61,7 @@
     let key = self.server(machine);
     let models: Vec<String> = self.servers[key].decided.values().cloned().collect();
     for model in models {
-      self.touch_model(&model);
+      self.recheck_model(&model);
     }
   }
 
@@ -88,12 +88,12 @@
   pub fn note_updates(&mut self) {
     let (objects, version) = std::mem::take(&mut self.updates);
     if objects > 0 {
-      self.note(Entry::Configured { objects, version });
+      self.log(Entry::Configured { objects, version });
     }
   }
 
   fn reject(&mut self, name: &Name, version: u64, why: String) {
-    self.note(Entry::Rejected {
+    self.log(Entry::Rejected {
       object: name.to_string(),
       version,
       why: why.clone(),
@@ -148,7 +148,7 @@
   }
 
   fn seed(&mut self, id: &str, address: &str) {
-    let known = self.peer(id).is_some() || self.me.seeds.iter().any(|seed| seed == address);
+    let known = self.peer_address(id).is_some() || self.me.seeds.iter().any(|seed| seed == address);
     if !known && id != self.me.instance {
       self.me.seeds.push(address.into());
     }
@@ -180,17 +180,17 @@
     let waiting = |key: &group::Key| !self.groups[*key].queue.is_empty();
     let waiting: Vec<_> = self.active.iter().copied().filter(waiting).collect();
     for key in waiting {
-      self.pump(key);
+      self.dispatch_queued(key);
     }
   }
 
   /// Decides who of the fleet reads the platform, and starts or stops reading.
   pub fn choose_watchers(&mut self) {
     let seen = (self.members.epoch, self.configured);
-    if self.watchers_seen == Some(seen) {
+    if self.watchers_chosen_for == Some(seen) {
       return;
     }
-    self.watchers_seen = Some(seen);
+    self.watchers_chosen_for = Some(seen);
     self.share_budget();
     let me = &self.me.instance;
     let zone = self.zone_members();
--- a/src/ledger.rs
+++ b/src/ledger.rs
@@ -55,10 +55,10 @@
   Unload {
     replica: Id,
     orderer: String,
-    settled: bool,
+    deregister: bool,
   },
   /// The orderer has no order in flight for the replica any more.
-  Settle { replica: Id, orderer: String },
+  Deregister { replica: Id, orderer: String },
   /// Frees the memory. `fenced`: the engine refuses the orders of others.
   Release {
     replica: Id,
@@ -115,9 +115,9 @@
       Change::Unload {
         replica,
         orderer,
-        settled,
+        deregister: settled,
       } => self.unload(*replica, orderer, *settled),
-      Change::Settle { replica, orderer } => Ok(self.settle(*replica, orderer)),
+      Change::Deregister { replica, orderer } => Ok(self.settle(*replica, orderer)),
       Change::Release {
         replica,
         orderer,
--- a/src/order.rs
+++ b/src/order.rs
@@ -47,7 +47,7 @@
 pub struct Status {
   pub server: String,
   /// When the question was sent, ms.
-  pub asked_at: u64,
+  pub requested_at: u64,
   /// `None` when the engine did not answer.
   pub report: Option<Report>,
 }
--- a/src/outcomes.rs
+++ b/src/outcomes.rs
@@ -60,7 +60,7 @@
       Step::Retire => self.on_withdrawn(id),
       Step::Unreserve => self.go(id, Step::Unload),
       Step::Release => self.go(id, Step::Drop),
-      Step::Settle => self.end_job(id),
+      Step::Deregister => self.end_job(id),
       Step::Drop => self.on_dropped(id),
       _ => {}
     }
@@ -92,7 +92,7 @@
 
   fn on_dropped(&mut self, id: Id) {
     if let Some(job) = self.jobs.get(&id) {
-      self.note(Entry::Gone {
+      self.log(Entry::Gone {
         model: job.model.clone(),
         replica: id.to_string(),
         server: job.replica.server.clone(),
@@ -107,7 +107,7 @@
     match (step, why) {
       (Step::Decide, _) => self.end_job(id),
       (Step::Reserve, Server(Ledger::Memory)) => self.on_no_memory(id),
-      (Step::Reserve, Server(Ledger::Unloading)) => self.go(id, Step::Settle),
+      (Step::Reserve, Server(Ledger::Unloading)) => self.go(id, Step::Deregister),
       (Step::Unreserve, Server(Ledger::Missing)) => self.go(id, Step::Drop),
       (Step::Release, Server(Ledger::InFlight)) => self.on_in_flight(id, value),
       (_, Model(_)) => self.end_job(id),
@@ -139,7 +139,7 @@
   /// Requests are drained only from a replica that may have taken some.
   fn on_withdrawn(&mut self, id: Id) {
     let reserved = self.jobs.get(&id).is_some_and(|job| job.fence > 0);
-    let placed = self.jobs.get(&id).is_some_and(|job| job.reserving);
+    let placed = self.jobs.get(&id).is_some_and(|job| job.is_new);
     let next = match placed && !reserved {
       true => Step::Unreserve,
       false => Step::Drain,
@@ -158,15 +158,17 @@
     let mine = self.orderer();
     let ended: Vec<String> = orderers
       .into_iter()
-      .filter(|orderer| *orderer != mine && self.ended(orderer))
+      .filter(|orderer| *orderer != mine && self.process_ended(orderer))
       .collect();
     let until = self.now + self.limits.order_ttl_ms;
     if let Some(job) = self.jobs.get_mut(&id)
-      && ended.iter().any(|orderer| !job.ended.contains(orderer))
+      && ended
+        .iter()
+        .any(|orderer| !job.ended_orderers.contains(orderer))
     {
       // What an ended process sent last may still be on its way.
-      job.ended = ended;
-      job.unsure_until = job.unsure_until.max(until);
+      job.ended_orderers = ended;
+      job.in_flight_until = job.in_flight_until.max(until);
     }
     self.go_later(id, Step::Unreserve);
   }
@@ -178,7 +180,7 @@
       return;
     };
     if outcome == order::Outcome::Unknown {
-      job.unsure_until = job.unsure_until.max(until);
+      job.in_flight_until = job.in_flight_until.max(until);
     }
     if job.number != number {
       return;
@@ -208,7 +210,9 @@
     let concerned: Vec<Id> = self
       .jobs
       .iter()
-      .filter(|(_, job)| job.replica.server == status.server && job.since <= status.asked_at)
+      .filter(|(_, job)| {
+        job.replica.server == status.server && job.step_started_at <= status.requested_at
+      })
       .map(|(id, _)| *id)
       .collect();
     for id in concerned {
@@ -234,21 +238,21 @@
     let Some(job) = self.jobs.get(&id) else {
       return;
     };
-    let took_ms = self.now - job.since;
+    let took_ms = self.now - job.step_started_at;
     let model = job.model.clone();
     let tier = report.tier(&model) as usize;
     let memory = self.catalog.models.get(&model).map(|spec| spec.memory_mb);
     if let Some(memory) = memory {
       self.load_rates[tier] = blend(self.load_rates[tier], took_ms * 1_000 / memory.max(1)).max(1);
     }
-    self.note(Entry::Ready {
+    self.log(Entry::Ready {
       model,
       replica: id.to_string(),
       server: job.replica.server.clone(),
       policy: job.replica.policy.clone(),
-      took_ms: self.now - job.began,
+      took_ms: self.now - job.started_at,
     });
-    self.go(id, Step::Settle);
+    self.go(id, Step::Deregister);
   }
 
   fn on_unload_report(&mut self, id: Id, report: &Report) {
@@ -265,7 +269,7 @@
       return;
     };
     let (model, policy) = (job.model.clone(), job.replica.policy.clone());
-    let began = job.began;
+    let began = job.started_at;
     let server = self.server(&job.replica.server.clone());
     let capacity = self
       .spec(&self.servers[server].name)
@@ -312,7 +316,7 @@
       return;
     }
     if let Some(owned) = self.owned.get_mut(model) {
-      owned.seen = true;
+      owned.record_read = true;
       owned.gaps = record.gaps.clone();
     }
     if record.replicas.is_empty() && self.facts.get(&key).is_none() {
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -154,7 +154,7 @@
     let changes = changes.map_err(|error| Status::invalid_argument(error.to_string()))?;
     let (sender, receiver) = oneshot::channel();
     let call = self.open_call(Waiter::Claims(sender));
-    (self.sink)(Event::ClaimAsked {
+    (self.sink)(Event::ClaimsRequested {
       call,
       shard: claims.shard,
       changes,
--- a/src/place.rs
+++ b/src/place.rs
@@ -25,7 +25,7 @@
       .catalog
       .servers
       .iter()
-      .filter(|(name, spec)| policy.servers.matches(&spec.labels) && self.usable(name))
+      .filter(|(name, spec)| policy.servers.matches(&spec.labels) && self.is_usable(name))
       .map(|(name, _)| name.clone())
       .collect();
     let mut scored = Vec::new();
@@ -83,7 +83,7 @@
       let known = &self.servers[*key];
       name != except
         && policy.servers.matches(&server.labels)
-        && self.usable(name)
+        && self.is_usable(name)
         && known.avoid_until.max(known.full_until) <= self.now
         && self.decided_mb(known) + spec.memory_mb <= server.memory_mb
         && spec
--- a/src/reduce.rs
+++ b/src/reduce.rs
@@ -25,8 +25,8 @@
   state.run_jobs();
   state.flush_due_claims();
   state.gossip();
-  if state.chores_at <= state.now {
-    state.chores_at = state.now + CHORES_MS;
+  if state.next_housekeeping_at <= state.now {
+    state.next_housekeeping_at = state.now + CHORES_MS;
     chores(state);
   }
   std::mem::take(&mut state.out)
@@ -35,22 +35,26 @@
 fn take_up(state: &mut State, event: Event) {
   match event {
     Event::Tick => {}
-    Event::Asked(ask) => {
+    Event::RequestArrived(ask) => {
       let ticket = ask.ticket;
       state.on_asked(ask);
       report_demand(state, ticket);
     }
     Event::CallerLeft { ticket } => state.on_caller_left(ticket),
-    Event::Ended {
+    Event::AttemptEnded {
       ticket,
       number,
       end,
       answer,
     } => state.on_ended(ticket, number, end, answer),
-    Event::BatchAsked { ticket, id, change } => state.on_batch_asked(ticket, id, change),
-    Event::ItemEnded { id, at, item } => state.on_item_ended(&id, at, item),
+    Event::BatchRequested { ticket, id, change } => state.on_batch_asked(ticket, id, change),
+    Event::ItemEnded {
+      id,
+      index: at,
+      item,
+    } => state.on_item_ended(&id, at, item),
     Event::Updated { tag, name, outcome } => on_updated(state, tag, &name, outcome),
-    Event::Ordered {
+    Event::OrderEnded {
       replica,
       step,
       outcome,
@@ -62,7 +66,7 @@
     Event::Exchange { call, delta } => state.on_exchange(call, &delta),
     Event::Exchanged { peer, delta } => state.on_exchanged(&peer, delta.as_ref()),
     Event::Notified { from, items } => state.on_notified(&from, items),
-    Event::ClaimAsked {
+    Event::ClaimsRequested {
       call,
       shard,
       changes,
@@ -101,7 +105,7 @@
     return;
   }
   state.stopping = true;
-  state.note(Entry::Stopping);
+  state.log(Entry::Stopping);
   let key = crate::fact::Key::Member(state.me.instance.clone());
   let incarnation = state.facts.version(&key).1 / 4;
   state.announce(incarnation + 1);
@@ -115,15 +119,15 @@
   state.inspect_servers();
   state.tend_claims();
   state.tend_batches();
-  if state.rounds_at <= state.now {
-    state.rounds_at = state.now + ROUNDS_MS;
+  if state.next_recovery_at <= state.now {
+    state.next_recovery_at = state.now + ROUNDS_MS;
     state.audit();
     state.recover_all();
   }
   let groups: Vec<_> = state.active.iter().copied().collect();
   for key in groups {
     state.expire(key);
-    state.pump(key);
+    state.dispatch_queued(key);
     state.report_demand(key);
     state.decide_own(key);
     state.share(key);
@@ -149,7 +153,7 @@
   /// Takes a group out of housekeeping when nothing of it is left.
   fn rest(&mut self, key: crate::group::Key) {
     let group = &self.groups[key];
-    let reported = group.reported.waiting + group.reported.running + group.arrived > 0;
+    let reported = group.reported.waiting + group.reported.running + group.unreported_arrivals > 0;
     let busy = !group.queue.is_empty() || group.running > 0 || reported;
     let policy = &group.policy;
     let owned = self.owned.contains_key(&group.model);
--- a/src/server.rs
+++ b/src/server.rs
@@ -23,9 +23,9 @@
   /// Replicas decided for it, with their models.
   pub decided: BTreeMap<Id, String>,
   /// Requests of this instance, by replica.
-  pub mine: HashMap<Id, u32>,
+  pub own_requests: HashMap<Id, u32>,
   /// Requests of others, by replica, as last reported.
-  pub others: HashMap<Id, u32>,
+  pub peer_requests: HashMap<Id, u32>,
   /// Nothing is sent before this time, ms: a recent failure.
   pub avoid_until: u64,
   /// No replica is placed here before this time, ms: memory was short.
@@ -37,20 +37,24 @@
   /// Time of the next read of the server record, ms.
   pub inspect_at: u64,
   /// Status questions without answer in a row.
-  pub silent: u32,
+  pub unanswered_polls: u32,
 }
 
 impl Server {
   /// Estimated requests at a replica: own ones exactly, others as reported.
   pub fn load(&self, replica: Id) -> u32 {
-    let mine = self.mine.get(&replica).copied().unwrap_or_default();
-    let others = self.others.get(&replica).copied().unwrap_or_default();
+    let mine = self.own_requests.get(&replica).copied().unwrap_or_default();
+    let others = self
+      .peer_requests
+      .get(&replica)
+      .copied()
+      .unwrap_or_default();
     mine + others
   }
 
   /// Requests of this instance at a replica.
-  pub fn mine(&self, replica: Id) -> u32 {
-    self.mine.get(&replica).copied().unwrap_or_default()
+  pub fn own_load(&self, replica: Id) -> u32 {
+    self.own_requests.get(&replica).copied().unwrap_or_default()
   }
 
   /// Whether the replica takes requests.
--- a/src/services.rs
+++ b/src/services.rs
@@ -30,7 +30,7 @@
     .unwrap_or("application/octet-stream")
     .to_string();
   let (ticket, directives) = shared.open_ticket();
-  shared.notify(Event::Asked(Ask {
+  shared.notify(Event::RequestArrived(Ask {
     ticket,
     work: Work::Service {
       service: service.into(),
--- a/src/share.rs
+++ b/src/share.rs
@@ -6,7 +6,7 @@
 
 use crate::{
   effect::Effect,
-  group::{self, Demand, REPORT_MS, SOFT_STATE_MS, Share},
+  group::{self, DEMAND_REPORT_INTERVAL_MS, Demand, SOFT_STATE_MS, Share},
   notice::Notice,
   replica::{Id, Target},
   settings::Dispatch,
@@ -25,14 +25,14 @@
     };
     let reported = group.reported;
     let same = reported.waiting == demand.waiting && reported.running == demand.running;
-    let idle = demand.waiting + demand.running + group.arrived == 0;
+    let idle = demand.waiting + demand.running + group.unreported_arrivals == 0;
     let first = (reported.waiting == 0) != (demand.waiting == 0);
-    let due = self.now >= reported.at + REPORT_MS / 4;
-    let repeat = self.now >= reported.at + REPORT_MS;
+    let due = self.now >= reported.at + DEMAND_REPORT_INTERVAL_MS / 4;
+    let repeat = self.now >= reported.at + DEMAND_REPORT_INTERVAL_MS;
     if (idle && same) || !(first || (due && !same) || (repeat && !idle)) {
       return;
     }
-    let arrived = std::mem::take(&mut self.groups[key].arrived);
+    let arrived = std::mem::take(&mut self.groups[key].unreported_arrivals);
     self.groups[key].reported = demand;
     let group = &self.groups[key];
     let (model, policy) = (group.model.clone(), group.policy.clone());
@@ -50,14 +50,14 @@
       }
       _ => {
         let me = self.me.instance.clone();
-        self.groups[key].state(&me, demand, arrived);
+        self.groups[key].record_demand(&me, demand, arrived);
       }
     }
   }
 
   /// Sends a notice to an instance whose address is known.
   pub fn notify(&mut self, instance: &str, notice: Notice) {
-    if let Some(address) = self.peer(instance) {
+    if let Some(address) = self.peer_address(instance) {
       self.emit(Effect::Notify {
         address,
         items: vec![notice],
@@ -96,7 +96,7 @@
       running,
       at,
     };
-    self.groups[key].state(from, demand, arrived);
+    self.groups[key].record_demand(from, demand, arrived);
     self.mark_active(key);
     self.decide(key);
     self.share(key);
@@ -109,7 +109,7 @@
     let shares = &mut self.groups[key].shares;
     shares.retain(|_, share| share.until > now);
     shares.insert(replica, Share { slots, until });
-    self.pump(key);
+    self.dispatch_queued(key);
   }
 
   /// Replicas decided for a group.
@@ -163,16 +163,24 @@
     let now = self.now;
     let given = (id, instance.to_string());
     let fresh = |share: &Share| share.slots == slots && share.until > now + SOFT_STATE_MS / 2;
-    if self.groups[key].given.get(&given).is_some_and(fresh) {
+    if self.groups[key]
+      .granted_shares
+      .get(&given)
+      .is_some_and(fresh)
+    {
       return;
     }
     let until = now + SOFT_STATE_MS;
-    self.groups[key].given.retain(|_, share| share.until > now);
-    self.groups[key].given.insert(given, Share { slots, until });
+    self.groups[key]
+      .granted_shares
+      .retain(|_, share| share.until > now);
+    self.groups[key]
+      .granted_shares
+      .insert(given, Share { slots, until });
     if instance == self.me.instance {
       let share = Share { slots, until };
       self.groups[key].shares.insert(id, share);
-      self.pump(key);
+      self.dispatch_queued(key);
     } else {
       let group = &self.groups[key];
       let notice = Notice::Share {
--- a/src/shared.rs
+++ b/src/shared.rs
@@ -148,7 +148,7 @@
 
 /// Notifies the reducer of an attempt's end.
 pub fn ended(shared: &Shared, attempt: &Attempt, end: End, answer: Option<(u16, Option<String>)>) {
-  shared.notify(Event::Ended {
+  shared.notify(Event::AttemptEnded {
     ticket: attempt.ticket,
     number: attempt.number,
     end,
--- a/src/state.rs
+++ b/src/state.rs
@@ -42,13 +42,13 @@
 /// A request between arrival and its final answer.
 #[derive(Clone, Debug)]
 pub struct Request {
-  pub ask: Ask,
+  pub descriptor: Ask,
   /// The group of a model's request.
   pub group: Option<group::Key>,
   /// Attempts so far.
   pub attempts: u32,
   /// Where the current attempt runs.
-  pub at: Option<(server::Key, Id)>,
+  pub running_on: Option<(server::Key, Id)>,
   /// Address of the current attempt at a plain service.
   pub address: Option<String>,
   /// What the attempts so far amount to.
@@ -63,7 +63,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Owned {
   /// The record was read since this instance owns the model.
-  pub seen: bool,
+  pub record_read: bool,
   /// Inter-arrival history stored in the record.
   pub gaps: Vec<u32>,
   /// Replicas decided but not loaded, with the time this was first noticed, ms.
@@ -71,7 +71,7 @@
   /// Time of the next read of the record, ms.
   pub audit_at: u64,
   /// A read is on its way since this time, ms.
-  pub asked_at: Option<u64>,
+  pub read_started_at: Option<u64>,
 }
 
 /// State of one instance.
@@ -99,11 +99,11 @@
   pub jobs: BTreeMap<Id, Job>,
   pub owned: BTreeMap<String, Owned>,
   /// Servers this instance looks after.
-  pub tended: Vec<String>,
+  pub owned_servers: Vec<String>,
   /// Where each model's replicas are decided.
   pub placed: HashMap<String, Vec<(server::Key, Id)>>,
   /// Epoch and configuration for which the watchers were chosen.
-  pub watchers_seen: Option<(u64, bool)>,
+  pub watchers_chosen_for: Option<(u64, bool)>,
   /// Membership epoch for which `owned` was worked out.
   pub owned_epoch: u64,
   pub claims: Claims,
@@ -116,9 +116,9 @@
   pub stopped: bool,
   pub watching: bool,
   /// Next housekeeping, ms.
-  pub chores_at: u64,
+  pub next_housekeeping_at: u64,
   /// Next round through all owned models, ms.
-  pub rounds_at: u64,
+  pub next_recovery_at: u64,
   pub out: Vec<Effect>,
 }
 
@@ -129,7 +129,7 @@
 
 impl State {
   /// State of an instance that knows nobody yet.
-  pub fn open(me: Identity, limits: Limits, seed: u64, now: u64) -> Self {
+  pub fn new(me: Identity, limits: Limits, seed: u64, now: u64) -> Self {
     let mut state = Self {
       me,
       limits,
@@ -149,9 +149,9 @@
       requests: HashMap::new(),
       jobs: BTreeMap::new(),
       owned: BTreeMap::new(),
-      tended: Vec::new(),
+      owned_servers: Vec::new(),
       placed: HashMap::new(),
-      watchers_seen: None,
+      watchers_chosen_for: None,
       owned_epoch: 0,
       claims: Claims::default(),
       batches: Batches::default(),
@@ -160,8 +160,8 @@
       stopping: false,
       stopped: false,
       watching: false,
-      chores_at: 0,
-      rounds_at: 0,
+      next_housekeeping_at: 0,
+      next_recovery_at: 0,
       out: Vec::new(),
     };
     state.announce(0);
@@ -199,8 +199,8 @@
   }
 
   /// Records a change of state.
-  pub fn note(&mut self, entry: Entry) {
-    self.out.push(Effect::Note(entry));
+  pub fn log(&mut self, entry: Entry) {
+    self.out.push(Effect::Log(entry));
   }
 
   /// A random number below `below`.
@@ -220,7 +220,7 @@
   }
 
   /// Peer address of an instance.
-  pub fn peer(&self, instance: &str) -> Option<String> {
+  pub fn peer_address(&self, instance: &str) -> Option<String> {
     match self.facts.get(&Key::Member(instance.into())) {
       Some((Body::Member(member), _)) => Some(member.address.clone()),
       _ => None,
@@ -238,7 +238,7 @@
 
   /// Whether a process, named `instance/boot`, is known to have ended: its
   /// machine is gone, or a later process runs there.
-  pub fn ended(&self, orderer: &str) -> bool {
+  pub fn process_ended(&self, orderer: &str) -> bool {
     let Some((instance, boot)) = orderer.rsplit_once('/') else {
       return false;
     };
@@ -289,13 +289,13 @@
   }
 
   /// Name of the policy that rules a model for a caller.
-  pub fn ruling(&self, model: &Model, caller: u64) -> String {
+  pub fn effective_policy(&self, model: &Model, caller: u64) -> String {
     let found = self.catalog.policy(model, caller);
     found.map_or(DEFAULT_POLICY, |(name, _)| name).to_string()
   }
 
   /// Whether a server takes new replicas and requests.
-  pub fn usable(&self, name: &str) -> bool {
+  pub fn is_usable(&self, name: &str) -> bool {
     let leaving = self
       .server_keys
       .get(name)
--- a/src/status.rs
+++ b/src/status.rs
@@ -209,7 +209,7 @@
     };
     Ruling {
       model: name.clone(),
-      policy: state.ruling(model, 0),
+      policy: state.effective_policy(model, 0),
       why,
     }
   });
--- a/src/submissions.rs
+++ b/src/submissions.rs
@@ -83,7 +83,7 @@
 pub fn batch(shared: &Shared, request: &mut Request, id: &str, change: Option<Change>) {
   let submits = matches!(change, Some(Change::Submit(_)));
   let (ticket, directives) = shared.open_ticket();
-  shared.notify(Event::BatchAsked {
+  shared.notify(Event::BatchRequested {
     ticket,
     id: id.into(),
     change,
--- a/tests/batch.rs
+++ b/tests/batch.rs
@@ -189,7 +189,7 @@
     seeds: Vec::new(),
   };
   let now = 100_000_000;
-  let mut state = State::open(me, Limits::default(), 1, now);
+  let mut state = State::new(me, Limits::default(), 1, now);
   let listed = Event::BatchesListed(vec![("old".into(), 5)]);
   let effects = reduce(&mut state, now, listed);
   let reads = |effect: &Effect| matches!(effect, Effect::Update { name, .. } if name.name == "old");
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -26,7 +26,7 @@
     boot: START,
     seeds: Vec::new(),
   };
-  let mut state = State::open(me, Limits::default(), 1, START);
+  let mut state = State::new(me, Limits::default(), 1, START);
   let object = |kind, name: &str, version, value: serde_json::Value| Object {
     name: Name::of(kind, name),
     version,
@@ -44,7 +44,7 @@
 }
 
 fn asked() -> Event {
-  Event::Asked(Ask {
+  Event::RequestArrived(Ask {
     ticket: Ticket(1),
     work: Work::Model {
       model: "contracts".into(),
--- a/tests/fuzz.rs
+++ b/tests/fuzz.rs
@@ -77,7 +77,7 @@
     boot: 1,
     seeds: Vec::new(),
   };
-  State::open(me, Limits::default(), 1, 1)
+  State::new(me, Limits::default(), 1, 1)
 }
 
 #[test]
--- a/tests/records.rs
+++ b/tests/records.rs
@@ -20,7 +20,7 @@
   Change::Unload {
     replica: Id(replica),
     orderer: orderer.into(),
-    settled,
+    deregister: settled,
   }
 }
 
@@ -65,7 +65,7 @@
   assert_eq!(ledger.apply(&reserve(1, "a/1")), Ok(true));
   assert_eq!(ledger.apply(&unload(1, "b/1", true)), Ok(true));
   assert_eq!(ledger.apply(&release(1, "b/1")), Err(Rejection::InFlight));
-  let settle = Change::Settle {
+  let settle = Change::Deregister {
     replica: Id(1),
     orderer: "a/1".into(),
   };
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -212,7 +212,7 @@
     };
     for at in 0..INSTANCES {
       let limits = world.limits();
-      let state = State::open(identity(at, now), limits, at as u64, now);
+      let state = State::new(identity(at, now), limits, at as u64, now);
       world.nodes.push(Node {
         state,
         alive: true,
@@ -248,7 +248,7 @@
     let boot = self.boot(at);
     for effect in reduce(&mut self.nodes[at].state, now, event) {
       match effect {
-        Effect::Note(_) | Effect::Watch(_) | Effect::Stopped => {}
+        Effect::Log(_) | Effect::Watch(_) | Effect::Stopped => {}
         effect => self.pending.push(Pending::Effect(at, boot, effect)),
       }
     }
@@ -321,7 +321,7 @@
     }
     self.give(
       at,
-      Event::Asked(Ask {
+      Event::RequestArrived(Ask {
         ticket: Ticket(ticket),
         work,
         class: Class::Interactive,
@@ -338,7 +338,7 @@
     let kept = |name: &(usize, u64, u64)| name.0 != at;
     self.asked.retain(kept);
     self.nodes[at] = Node {
-      state: State::open(identity(at, boot), self.limits(), boot, boot),
+      state: State::new(identity(at, boot), self.limits(), boot, boot),
       alive: true,
       paused: false,
     };
@@ -423,7 +423,7 @@
         let report = if badly { None } else { self.report(&server) };
         let status = Status {
           server,
-          asked_at: self.now,
+          requested_at: self.now,
           report,
         };
         self.answer(at, boot, Event::Reported(status));
@@ -495,7 +495,7 @@
   }
 
   fn ordered(&mut self, at: usize, boot: u64, replica: Id, step: u64, outcome: order::Outcome) {
-    let event = Event::Ordered {
+    let event = Event::OrderEnded {
       replica,
       step,
       outcome,
@@ -655,7 +655,7 @@
       self.answered.insert(name);
     }
     let answer = (end == End::Whole).then(|| (200, Some("done".to_string())));
-    let event = Event::Ended {
+    let event = Event::AttemptEnded {
       ticket: attempt.ticket,
       number: attempt.number,
       end,
