--- a/src/admit.rs
+++ b/src/admit.rs
@@ -1,10 +1,10 @@
-//! Admission, waiting and dispatch of requests.
+//! Admission, queueing and dispatch of requests.
 
 use crate::{
   ask::{Ask, Class, Ticket, Work},
   attempt::{Attempt, End},
   effect::Effect,
-  group::{self, blend},
+  group::{self, moving_average},
   journal::Entry,
   refusal::{Reason, Refusal},
   replica::{Id, Target},
@@ -14,20 +14,21 @@
   verdict::Verdict,
 };
 
-/// Cost of a retry and most of the budget, in hundredths of a retry.
+/// Amount of the retry budget that one retry uses, in hundredths of a retry.
 const RETRY_COST: u32 = 100;
-const RETRY_MOST: u32 = 5_000;
-/// Time for which a server that failed is passed over, ms.
-const AVOID_MS: u64 = 1_000;
-/// Time for which a server that declined is passed over, ms.
-const DECLINED_MS: u64 = 50;
-/// Least time after which a refused caller may come back, ms.
-const RETRY_AFTER_MS: u64 = 500;
+/// Maximum retry budget in hundredths of a retry.
+const MAX_RETRY_BUDGET: u32 = 5_000;
+/// How long a server is skipped after a failure.
+const AVOID_AFTER_FAILURE_MS: u64 = 1_000;
+/// How long a server is skipped after it declined a request.
+const AVOID_AFTER_DECLINE_MS: u64 = 50;
+/// Minimum retry-after of a refused request that may be retried.
+const MIN_RETRY_AFTER_MS: u64 = 500;
 
 impl State {
-  /// Admits a request or refuses it at once.
-  pub fn on_asked(&mut self, ask: Ask) {
-    self.retry_budget = (self.retry_budget + self.limits.retry_percent).min(RETRY_MOST);
+  /// Admits or refuses a request that arrived.
+  pub fn on_request_arrived(&mut self, descriptor: Ask) {
+    self.retry_budget = (self.retry_budget + self.limits.retry_percent).min(MAX_RETRY_BUDGET);
     let mut request = Request {
       group: None,
       attempts: 0,
@@ -37,16 +38,18 @@
       arrived: self.now,
       sent: 0,
       cold: false,
-      descriptor: ask,
+      descriptor,
     };
     let ticket = request.descriptor.ticket;
     let work = request.descriptor.work.clone();
     match work {
-      _ if self.stopping => self.turn_away(request, Reason::Stopping, RETRY_AFTER_MS),
-      _ if !self.configured => self.turn_away(request, Reason::PlatformUnavailable, RETRY_AFTER_MS),
+      _ if self.stopping => self.refuse_arrival(request, Reason::Stopping, MIN_RETRY_AFTER_MS),
+      _ if !self.configured => {
+        self.refuse_arrival(request, Reason::PlatformUnavailable, MIN_RETRY_AFTER_MS)
+      }
       Work::Service { service, key, .. } => {
         if !self.catalog.services.contains_key(&service) {
-          self.turn_away(request, Reason::UnknownModel, 0);
+          self.refuse_arrival(request, Reason::UnknownModel, 0);
           return;
         }
         self.requests.insert(ticket, request);
@@ -57,7 +60,7 @@
       }
       Work::Model { model } => {
         let Some(spec) = self.catalog.models.get(&model) else {
-          self.turn_away(request, Reason::UnknownModel, 0);
+          self.refuse_arrival(request, Reason::UnknownModel, 0);
           return;
         };
         let policy = self.effective_policy(spec, request.descriptor.caller);
@@ -68,7 +71,7 @@
     }
   }
 
-  fn turn_away(&mut self, request: Request, reason: Reason, retry_after: u64) {
+  fn refuse_arrival(&mut self, request: Request, reason: Reason, retry_after: u64) {
     let ticket = request.descriptor.ticket;
     self.requests.insert(ticket, request);
     self.refuse(ticket, reason, retry_after);
@@ -76,26 +79,36 @@
 
   fn admit(&mut self, key: group::Key, mut request: Request) {
     let ready = self.has_ready(key);
-    let estimate = self.wait_estimate(key, request.descriptor.class, ready);
+    let estimate_ms = self.wait_estimate(key, request.descriptor.class, ready);
     let group = &mut self.groups[key];
     if group.queue.len() >= self.limits.queue {
-      self.turn_away(request, Reason::QueueFull, estimate.max(RETRY_AFTER_MS));
+      self.refuse_arrival(
+        request,
+        Reason::QueueFull,
+        estimate_ms.max(MIN_RETRY_AFTER_MS),
+      );
       return;
     }
-    if self.now + estimate > request.descriptor.deadline {
-      self.turn_away(request, Reason::TooLate, estimate.max(RETRY_AFTER_MS));
+    if self.now + estimate_ms > request.descriptor.deadline {
+      self.refuse_arrival(
+        request,
+        Reason::TooLate,
+        estimate_ms.max(MIN_RETRY_AFTER_MS),
+      );
       return;
     }
     request.cold = !ready;
     group.unreported_arrivals += 1;
-    let ask = &request.descriptor;
-    group.queue.insert((ask.class, ask.deadline, ask.ticket));
-    self.requests.insert(ask.ticket, request);
+    let descriptor = &request.descriptor;
+    group
+      .queue
+      .insert((descriptor.class, descriptor.deadline, descriptor.ticket));
+    self.requests.insert(descriptor.ticket, request);
     self.mark_active(key);
     self.dispatch_queued(key);
   }
 
-  /// Time until a request arriving now would be sent, ms.
+  /// Estimated time in ms until a request that arrives now is sent.
   fn wait_estimate(&self, key: group::Key, class: Class, ready: bool) -> u64 {
     let group = &self.groups[key];
     let ahead = match class {
@@ -112,40 +125,44 @@
       .iter()
       .map(|(server, _)| self.slots(*server))
       .sum();
-    let queue = ahead as u64 * group.service_ms / u64::from(slots.max(1));
-    if ready { queue } else { queue + group.cold_ms }
+    let queue_ms = ahead as u64 * group.service_ms / u64::from(slots.max(1));
+    if ready {
+      queue_ms
+    } else {
+      queue_ms + group.cold_ms
+    }
   }
 
-  /// Requests that one replica on the server runs at once.
+  /// Concurrent requests of one replica on the server; 0 if the server is not configured.
   pub fn slots(&self, key: server::Key) -> u32 {
     let spec = self.spec(&self.servers[key].name);
     spec.map(|spec| spec.slots).unwrap_or_default()
   }
 
-  /// Replicas of a group that take requests now.
+  /// Replicas of a group that accept requests now.
   pub fn ready(&self, key: group::Key) -> Vec<(server::Key, Id)> {
     let group = &self.groups[key];
-    let ruled = self.catalog.policies.contains_key(&group.policy);
+    let policy_exists = self.catalog.policies.contains_key(&group.policy);
     self
       .placement(&group.model)
       .iter()
       .filter(|replica| replica.target == Target::Loaded)
-      .filter(|replica| replica.policy == group.policy || !ruled)
+      .filter(|replica| replica.policy == group.policy || !policy_exists)
       .filter(|replica| self.is_usable(&replica.server))
       .filter_map(|replica| Some((*self.server_keys.get(&replica.server)?, replica.id)))
       .filter(|(server, id)| self.servers[*server].ready(*id))
       .collect()
   }
 
-  /// Whether some replica of a group takes requests now.
+  /// Whether any replica of a group accepts requests now.
   pub fn has_ready(&self, key: group::Key) -> bool {
     !self.ready(key).is_empty()
   }
 
-  /// Sends what waits in a group as far as replicas have free slots.
+  /// Sends queued requests of a group while its replicas have free slots.
   pub fn dispatch_queued(&mut self, key: group::Key) {
     while let Some(&(class, deadline, ticket)) = self.groups[key].queue.first() {
-      let Some((server, replica)) = self.free_replica(key) else {
+      let Some((server, replica)) = self.replica_with_free_slot(key) else {
         return;
       };
       self.groups[key].queue.remove(&(class, deadline, ticket));
@@ -153,20 +170,21 @@
     }
   }
 
-  fn free_replica(&self, key: group::Key) -> Option<(server::Key, Id)> {
+  fn replica_with_free_slot(&self, key: group::Key) -> Option<(server::Key, Id)> {
     let group = &self.groups[key];
     self
       .ready(key)
       .into_iter()
       .filter(|(server, _)| self.servers[*server].avoid_until <= self.now)
-      .map(|(server, id)| (self.room(group, server, id), server, id))
-      .filter(|(room, ..)| *room > 0)
-      .max_by_key(|(room, _, id)| (*room, *id))
+      .map(|(server, id)| (self.free_slots(group, server, id), server, id))
+      .filter(|(free, ..)| *free > 0)
+      .max_by_key(|(free, _, id)| (*free, *id))
       .map(|(_, server, id)| (server, id))
   }
 
-  /// Requests of this instance that the replica can take further.
-  fn room(&self, group: &group::Group, key: server::Key, id: Id) -> i64 {
+  /// Number of further requests that this instance may send to the replica; zero or negative
+  /// if there are none.
+  fn free_slots(&self, group: &group::Group, key: server::Key, id: Id) -> i64 {
     let server = &self.servers[key];
     let slots = i64::from(self.slots(key));
     let share = match self.limits.dispatch {
@@ -199,7 +217,7 @@
     group.running += 1;
     let (model, policy) = (group.model.clone(), group.policy.clone());
     if first && cold {
-      group.cold_ms = blend(group.cold_ms, waited_ms);
+      group.cold_ms = moving_average(group.cold_ms, waited_ms);
       self.log(Entry::Cold {
         model,
         policy,
@@ -218,7 +236,7 @@
     }));
   }
 
-  /// Sends a plain service's call to one of its runners.
+  /// Sends a plain service's call to one of its backend servers.
   pub fn call_service(&mut self, ticket: Ticket) {
     let Some(request) = self.requests.get(&ticket) else {
       return;
@@ -231,16 +249,16 @@
       return;
     };
     let mut addresses = spec.addresses.clone();
-    let last = request.address.clone();
+    let previous = request.address.clone();
     if addresses.len() > 1 {
-      addresses.retain(|address| Some(address) != last.as_ref());
+      addresses.retain(|address| Some(address) != previous.as_ref());
     }
     if addresses.is_empty() {
-      self.give_up(ticket, Reason::NoServer);
+      self.fail_request(ticket, Reason::NoServer);
       return;
     }
-    let pick = self.random(addresses.len() as u64) as usize;
-    let address = addresses.swap_remove(pick);
+    let index = self.random(addresses.len() as u64) as usize;
+    let address = addresses.swap_remove(index);
     let now = self.now;
     let Some(request) = self.requests.get_mut(&ticket) else {
       return;
@@ -257,8 +275,8 @@
     }));
   }
 
-  /// Takes up the end of an attempt.
-  pub fn on_ended(
+  /// Handles the end of an attempt.
+  pub fn on_attempt_ended(
     &mut self,
     ticket: Ticket,
     number: u32,
@@ -271,11 +289,11 @@
     if request.attempts != number {
       return;
     }
-    let at = request.running_on.take();
-    let held = self.now.saturating_sub(request.sent);
+    let target = request.running_on.take();
+    let held_ms = self.now.saturating_sub(request.sent);
     let group = request.group;
-    if let (Some((server, replica)), Some(key)) = (at, group) {
-      self.free_slot(key, server, replica, end, held);
+    if let (Some((server, replica)), Some(key)) = (target, group) {
+      self.release_slot(key, server, replica, end, held_ms);
     }
     match end {
       End::Whole | End::CallerGone => self.finish(ticket, end, answer),
@@ -287,22 +305,29 @@
     }
   }
 
-  fn free_slot(&mut self, key: group::Key, at: server::Key, id: Id, end: End, held: u64) {
+  fn release_slot(
+    &mut self,
+    key: group::Key,
+    server_key: server::Key,
+    id: Id,
+    end: End,
+    held_ms: u64,
+  ) {
     let now = self.now;
     let group = &mut self.groups[key];
     group.running = group.running.saturating_sub(1);
-    let server = &mut self.servers[at];
-    if let Some(mine) = server.own_requests.get_mut(&id) {
-      *mine = mine.saturating_sub(1);
-      if *mine == 0 {
+    let server = &mut self.servers[server_key];
+    if let Some(running) = server.own_requests.get_mut(&id) {
+      *running = running.saturating_sub(1);
+      if *running == 0 {
         server.own_requests.remove(&id);
       }
     }
     match end {
-      End::Whole => group.service_ms = blend(group.service_ms, held.max(1)),
-      End::Broken(_) => server.avoid_until = now + AVOID_MS,
-      // Others fill the replica, or it is being unloaded.
-      End::Declined => server.avoid_until = server.avoid_until.max(now + DECLINED_MS),
+      End::Whole => group.service_ms = moving_average(group.service_ms, held_ms.max(1)),
+      End::Broken(_) => server.avoid_until = now + AVOID_AFTER_FAILURE_MS,
+      // Requests of other instances fill the replica, or it is being unloaded.
+      End::Declined => server.avoid_until = server.avoid_until.max(now + AVOID_AFTER_DECLINE_MS),
       End::CallerGone => {}
     }
   }
@@ -320,19 +345,21 @@
       return;
     };
     request.verdict = request.verdict.and(verdict);
-    let once = matches!(
+    let at_most_once = matches!(
       request.descriptor.work,
       Work::Service {
         repeatable: false,
         ..
       }
     );
-    let spent = request.attempts >= self.limits.attempts || self.retry_budget < RETRY_COST;
-    // A declined attempt cost the server nothing, and waiting is bounded.
-    let free = verdict == Verdict::NotRun && request.group.is_some();
-    let late = self.now >= request.descriptor.deadline && request.verdict == Verdict::NotRun;
-    if late || (once && verdict == Verdict::MayHaveRun) || (spent && !free) {
-      self.give_up(ticket, Reason::ServerFailed);
+    let retries_exhausted =
+      request.attempts >= self.limits.attempts || self.retry_budget < RETRY_COST;
+    // A declined attempt costs the server nothing, and the deadline bounds the wait.
+    let exempt = verdict == Verdict::NotRun && request.group.is_some();
+    let expired = self.now >= request.descriptor.deadline && request.verdict == Verdict::NotRun;
+    if expired || (at_most_once && verdict == Verdict::MayHaveRun) || (retries_exhausted && !exempt)
+    {
+      self.fail_request(ticket, Reason::ServerFailed);
       return;
     }
     self.retry_budget = self.retry_budget.saturating_sub(RETRY_COST);
@@ -354,17 +381,17 @@
     }
   }
 
-  fn give_up(&mut self, ticket: Ticket, reason: Reason) {
+  fn fail_request(&mut self, ticket: Ticket, reason: Reason) {
     if let Some(request) = self.requests.get(&ticket)
       && let Work::Service { key: Some(key), .. } = request.descriptor.work
     {
       let end = End::Broken(request.verdict);
       self.settle_claim(ticket, key, end, None);
     }
-    self.refuse(ticket, reason, RETRY_AFTER_MS);
+    self.refuse(ticket, reason, MIN_RETRY_AFTER_MS);
   }
 
-  /// Ends a request with a refusal; `retry_after` 0: do not repeat.
+  /// Refuses a request; a `retry_after` of 0 ms tells the caller not to retry.
   pub fn refuse(&mut self, ticket: Ticket, reason: Reason, retry_after: u64) {
     let Some(request) = self.requests.remove(&ticket) else {
       return;
@@ -394,27 +421,28 @@
     self.emit(Effect::Refuse { ticket, refusal });
   }
 
-  /// Refuses what has waited past its deadline.
+  /// Refuses queued requests whose deadline has passed.
   pub fn expire(&mut self, key: group::Key) {
     let now = self.now;
-    let late: Vec<Ticket> = self.groups[key]
+    let expired: Vec<Ticket> = self.groups[key]
       .queue
       .iter()
       .filter(|(_, deadline, _)| *deadline <= now)
       .map(|(.., ticket)| *ticket)
       .collect();
-    for ticket in late {
-      let wait = self.groups[key].cold_ms.max(RETRY_AFTER_MS);
-      self.refuse(ticket, Reason::TooLate, wait);
+    for ticket in expired {
+      let retry_after = self.groups[key].cold_ms.max(MIN_RETRY_AFTER_MS);
+      self.refuse(ticket, Reason::TooLate, retry_after);
     }
   }
 
-  /// The caller of a waiting request is gone; a running one ends by itself.
+  /// Refuses a queued request whose caller disconnected. The end of a running attempt
+  /// arrives as an event of its own.
   pub fn on_caller_left(&mut self, ticket: Ticket) {
     let request = self.requests.get(&ticket);
-    let waits =
+    let is_waiting =
       request.is_some_and(|request| request.group.is_some() && request.running_on.is_none());
-    if waits {
+    if is_waiting {
       self.refuse(ticket, Reason::CallerGone, 0);
     }
   }
--- a/src/audit.rs
+++ b/src/audit.rs
@@ -1,8 +1,8 @@
-//! Ownership of models, and recovery of what others left unfinished.
+//! Ownership of models, and recovery of replicas that other instances left unfinished.
 //!
-//! The owner reads the record of each of its models when it becomes owner and
-//! from time to time after that. A replica that is decided but not loaded is
-//! rolled forward when someone waits for it, and let go otherwise.
+//! The owner reads the record of each of its models when it becomes the owner and
+//! periodically after that. A replica that is decided but not loaded is rolled forward
+//! if requests wait for it, and retired otherwise.
 
 use crate::{
   catalog::Model,
@@ -21,20 +21,20 @@
   update::{Outcome, Value},
 };
 
-/// Reads of records begun in one round of housekeeping.
-const READS: usize = 16;
-/// How many times rarer the record of a model without replicas is read.
-const UNPLACED: u64 = 20;
-/// Time after which a read that has not come counts as lost, ms.
-const LOST_MS: u64 = 10_000;
-/// How long a replica may be decided but not loaded before the owner rolls it
-/// forward, ms.
-const FORWARD_MS: u64 = 500;
-/// How long before the owner lets it go when nobody waits for it, ms.
-const LET_GO_MS: u64 = 5_000;
+/// Maximum number of record reads started in one pass.
+const MAX_READS_PER_PASS: usize = 16;
+/// Audit intervals added before the next read of a record without replicas.
+const UNPLACED_READ_DELAY_INTERVALS: u64 = 20;
+/// Time after which a pending read counts as lost.
+const READ_TIMEOUT_MS: u64 = 10_000;
+/// Time after which the owner rolls forward a replica that is decided but not loaded.
+const ROLL_FORWARD_DELAY_MS: u64 = 500;
+/// Time after which the owner retires a replica that is decided but not loaded and for which
+/// no request waits.
+const RETIRE_DELAY_MS: u64 = 5_000;
 
 impl State {
-  /// Works out which models this instance owns.
+  /// Recomputes which models and servers this instance owns after the members changed.
   pub fn refresh_owned(&mut self) {
     let epoch = self.members.epoch + 1;
     if self.owned_epoch == epoch {
@@ -45,72 +45,76 @@
     let mut owned = std::collections::BTreeMap::new();
     for model in models {
       if self.owns(&model) {
-        let held = self.owned.remove(&model).unwrap_or_default();
-        owned.insert(model, held);
+        let state = self.owned.remove(&model).unwrap_or_default();
+        owned.insert(model, state);
       }
     }
     self.owned = owned;
     let servers = self.catalog.servers.keys();
-    let tended = servers.filter(|name| self.owns(&format!("server/{name}")));
-    self.owned_servers = tended.cloned().collect();
-    self.open_standing();
+    let owned_servers = servers.filter(|name| self.owns(&format!("server/{name}")));
+    self.owned_servers = owned_servers.cloned().collect();
+    self.activate_kept_groups();
   }
 
-  /// Works out whether this instance owns one model that was configured.
+  /// Recomputes whether this instance owns one model whose configuration changed.
   pub fn refresh_owner(&mut self, model: &str) {
     if !self.catalog.models.contains_key(model) || !self.owns(model) {
       self.owned.remove(model);
     } else if !self.owned.contains_key(model) {
       self.owned.insert(model.into(), Owned::default());
-      self.open_standing();
+      self.activate_kept_groups();
     }
   }
 
-  /// Opens the groups of owned models that some policy always keeps loaded.
-  fn open_standing(&mut self) {
-    let mut standing = Vec::new();
+  /// Activates the groups of owned models that a policy always keeps loaded.
+  fn activate_kept_groups(&mut self) {
+    let mut kept_groups = Vec::new();
     for model in self.owned.keys() {
       let Some(spec) = self.catalog.models.get(model) else {
         continue;
       };
       let policies = self.catalog.policies.iter();
-      let keeping = policies
+      let keeping_policies = policies
         .filter(|(_, policy)| policy.min_replicas > 0 && policy.models.matches(&spec.labels))
-        .filter(|(name, policy)| self.rules(name, policy, spec));
-      standing.extend(keeping.map(|(policy, _)| (model.clone(), policy.clone())));
+        .filter(|(name, policy)| self.applies_to_first_caller(name, policy, spec));
+      kept_groups.extend(keeping_policies.map(|(policy, _)| (model.clone(), policy.clone())));
     }
-    for (model, policy) in standing {
+    for (model, policy) in kept_groups {
       let key = self.group(&model, &policy);
       self.mark_active(key);
     }
   }
 
-  /// Whether a policy rules a model for some caller.
-  fn rules(&self, name: &str, policy: &Policy, model: &Model) -> bool {
+  /// Whether a policy applies to a model for the first caller of its slice.
+  fn applies_to_first_caller(&self, name: &str, policy: &Policy, model: &Model) -> bool {
     let first = policy.slice.map_or(0, |slice| u64::from(slice.from));
     self.effective_policy(model, first) == name
   }
 
-  /// Begins the reads that are due.
+  /// Starts the record reads that are due.
   pub fn audit(&mut self) {
     let now = self.now;
     let due: Vec<String> = self
       .owned
       .iter()
       .filter(|(_, owned)| owned.audit_at <= now)
-      .filter(|(_, owned)| owned.read_started_at.is_none_or(|at| at + LOST_MS < now))
+      .filter(|(_, owned)| {
+        owned
+          .read_started_at
+          .is_none_or(|at| at + READ_TIMEOUT_MS < now)
+      })
       .map(|(model, _)| model.clone())
-      .take(READS)
+      .take(MAX_READS_PER_PASS)
       .collect();
     for model in due {
       self.read_record(model);
     }
   }
 
-  /// Reads a record that a decision waits for, unless it is being read.
-  pub fn audit_now(&mut self, model: &str) {
-    let idle = |owned: &Owned| owned.read_started_at.is_none();
-    if self.owned.get(model).is_some_and(idle) {
+  /// Reads a record that a decision waits for, unless a read is pending.
+  pub fn read_record_now(&mut self, model: &str) {
+    let not_reading = |owned: &Owned| owned.read_started_at.is_none();
+    if self.owned.get(model).is_some_and(not_reading) {
       self.read_record(model.into());
     }
   }
@@ -131,27 +135,27 @@
     });
   }
 
-  /// Takes up a record that was read.
+  /// Handles the outcome of a record read.
   pub fn on_audited(&mut self, model: &str, outcome: Outcome) {
-    let pause = self.limits.audit_ms;
-    let later = self.now + pause / 2 + self.random(pause);
-    let soon = self.now + self.random(1_000);
+    let interval_ms = self.limits.audit_ms;
+    let next_at = self.now + interval_ms / 2 + self.random(interval_ms);
+    let retry_at = self.now + self.random(1_000);
     let Some(owned) = self.owned.get_mut(model) else {
       return;
     };
     owned.read_started_at = None;
     let Outcome::Applied(stored) = outcome else {
-      owned.audit_at = soon;
+      owned.audit_at = retry_at;
       return;
     };
     let Value::Model(record) = stored.value else {
       return;
     };
     owned.audit_at = match record.replicas.is_empty() {
-      true => later + UNPLACED * pause,
-      false => later,
+      true => next_at + UNPLACED_READ_DELAY_INTERVALS * interval_ms,
+      false => next_at,
     };
-    self.see_record(model, stored.version, &record);
+    self.publish_record(model, stored.version, &record);
     for replica in &record.replicas {
       let key = self.group(model, &replica.policy);
       let group = &mut self.groups[key];
@@ -163,15 +167,15 @@
       }
       self.mark_active(key);
     }
-    let waiting: Vec<_> = self.active.iter().copied().collect();
-    for key in waiting {
+    let groups: Vec<_> = self.active.iter().copied().collect();
+    for key in groups {
       if self.groups[key].model == model {
         self.decide(key);
       }
     }
   }
 
-  /// Looks after every owned model that has replicas.
+  /// Recovers unfinished replicas of all owned models.
   pub fn recover_all(&mut self) {
     let placed = self.placed.iter();
     let placed: Vec<String> = placed
@@ -183,34 +187,34 @@
     }
   }
 
-  /// Takes on replicas of an owned model that no one brings further.
+  /// Takes over replicas of an owned model that make no progress.
   pub fn recover(&mut self, model: &str) {
     let replicas = self.placement(model).to_vec();
     for replica in replicas {
-      if self.stuck(model, &replica) {
+      if self.is_stuck(model, &replica) {
         self.adopt(model, replica);
       }
     }
   }
 
-  /// Whether a replica is decided but not loaded, and nobody here works on it.
-  fn stuck(&mut self, model: &str, replica: &Replica) -> bool {
+  /// Whether a replica is decided but not loaded and has no job on this instance.
+  fn is_stuck(&mut self, model: &str, replica: &Replica) -> bool {
     let known = self
       .facts
       .get(&Key::Residence(replica.server.clone()))
       .is_some();
-    let lost = self.listed(&replica.server) == Listed::Gone;
+    let gone = self.listed(&replica.server) == Listed::Gone;
     let server = self.server(&replica.server);
     let stage = self.servers[server].residents.get(&replica.id);
     let loaded = stage == Some(&Stage::Ready);
     let loading = stage == Some(&Stage::Loading);
-    let fine = (loaded || loading) && replica.target == Target::Loaded;
-    let stuck = (known || lost) && !fine && !self.jobs.contains_key(&replica.id);
+    let as_decided = (loaded || loading) && replica.target == Target::Loaded;
+    let missing = (known || gone) && !as_decided && !self.jobs.contains_key(&replica.id);
     let now = self.now;
     let Some(owned) = self.owned.get_mut(model) else {
       return false;
     };
-    if !stuck {
+    if !missing {
       owned.missing.remove(&replica.id);
       return false;
     }
@@ -223,24 +227,24 @@
       .owned
       .get(model)
       .and_then(|owned| owned.missing.get(&replica.id));
-    let age = self.now - since.copied().unwrap_or(self.now);
+    let age_ms = self.now - since.copied().unwrap_or(self.now);
     let key = self.group(model, &replica.policy);
     let wanted =
       self.groups[key].waiting(self.now) > 0 || self.policy(&replica.policy).min_replicas > 0;
     if replica.target == Target::Gone {
-      if age >= FORWARD_MS {
+      if age_ms >= ROLL_FORWARD_DELAY_MS {
         self.retire(model, replica, "withdrawn");
       }
     } else if wanted && self.is_usable(&replica.server) {
-      if age >= FORWARD_MS {
+      if age_ms >= ROLL_FORWARD_DELAY_MS {
         self.start_job(model, replica, Step::Reserve, 0);
       }
-    } else if age >= LET_GO_MS {
+    } else if age_ms >= RETIRE_DELAY_MS {
       self.retire(model, replica, "not loaded");
     }
   }
 
-  /// Takes up a status report: what changed on the engine is published to all.
+  /// Handles a status report and publishes changes on the engine to all instances.
   pub fn on_reported(&mut self, status: Status) {
     let key = self.server(&status.server);
     let Some(report) = &status.report else {
@@ -261,8 +265,8 @@
       leaving: report.leaving,
     };
     self.publish_changed(Key::Residence(status.server.clone()), version, residence);
-    let near = report.cached.iter();
-    let cache = near
+    let cached_models = report.cached.iter();
+    let cache = cached_models
       .filter(|cached| cached.tier != Tier::Remote)
       .map(|cached| (short(&cached.model), cached.tier))
       .collect();
@@ -274,7 +278,7 @@
     if self.limits.dispatch == Dispatch::Push {
       self.publish_load(&status.server, version, report);
     }
-    self.jobs_reported(&status);
+    self.notify_jobs(&status);
   }
 
   fn publish_load(&mut self, server: &str, version: Version, report: &Report) {
@@ -288,24 +292,24 @@
   }
 
   fn publish_changed(&mut self, key: Key, version: Version, body: Body) {
-    let held = self.facts.get(&key);
-    // A new boot starts a new order of versions, so it is published even when alike.
-    let same = held.is_some_and(|(held, at)| *held == body && at.0 == version.0);
+    let published = self.facts.get(&key);
+    // Versions restart with each boot, so an unchanged value is published again after one.
+    let same = published.is_some_and(|(old, at)| *old == body && at.0 == version.0);
     if !same {
       self.publish(key, version, body);
     }
   }
 
-  /// Asks the engines this instance looks after for their status.
+  /// Polls the status of the engines of this instance's servers.
   pub fn poll_servers(&mut self) {
     for name in self.owned_servers.clone() {
       if self.listed(&name) == Listed::Gone {
         continue;
       }
       let key = self.server(&name);
-      let pause = self.limits.poll_ms;
+      let interval_ms = self.limits.poll_ms;
       let server = &mut self.servers[key];
-      if server.polled_at + pause > self.now {
+      if server.polled_at + interval_ms > self.now {
         continue;
       }
       server.polled_at = self.now;
@@ -319,15 +323,15 @@
     }
   }
 
-  /// Reads the records of servers this instance looks after, from time to time.
+  /// Periodically reads the records of this instance's servers.
   pub fn inspect_servers(&mut self) {
     for name in self.owned_servers.clone() {
       let key = self.server(&name);
       if self.servers[key].inspect_at > self.now {
         continue;
       }
-      let pause = self.limits.audit_ms;
-      self.servers[key].inspect_at = self.now + pause / 2 + self.random(pause);
+      let interval_ms = self.limits.audit_ms;
+      self.servers[key].inspect_at = self.now + interval_ms / 2 + self.random(interval_ms);
       self.emit(Effect::Update {
         tag: Tag::Inspect {
           server: name.clone(),
@@ -339,8 +343,8 @@
     }
   }
 
-  /// Takes up a server record that was read: looks into reservations of replicas
-  /// that no placement names.
+  /// Handles a server record that was read and starts the inspection of reservations
+  /// whose replicas are in no placement.
   pub fn on_inspected_server(&mut self, server: &str, outcome: Outcome) {
     let Outcome::Applied(stored) = outcome else {
       return;
@@ -348,19 +352,19 @@
     let Value::Server(ledger) = stored.value else {
       return;
     };
-    for held in ledger.reservations {
-      let mut placed = self.placement(&held.model).iter();
-      let known = placed.any(|replica| replica.id == held.replica);
-      if known || self.jobs.contains_key(&held.replica) {
+    for reservation in ledger.reservations {
+      let mut placed = self.placement(&reservation.model).iter();
+      let known = placed.any(|replica| replica.id == reservation.replica);
+      if known || self.jobs.contains_key(&reservation.replica) {
         continue;
       }
       let replica = Replica {
-        id: held.replica,
+        id: reservation.replica,
         server: server.into(),
         target: Target::Gone,
         policy: String::new(),
       };
-      self.start_job(&held.model, replica, Step::Inspect, 0);
+      self.start_job(&reservation.model, replica, Step::Inspect, 0);
     }
   }
 }
--- a/src/decide.rs
+++ b/src/decide.rs
@@ -1,4 +1,4 @@
-//! Decisions of the owner of a model: when to load, when to let go.
+//! Decisions of a model's owner: when to load and when to retire replicas.
 
 use crate::{
   fact::Listed,
@@ -11,52 +11,52 @@
   state::State,
 };
 
-/// Pause after a decision that came to nothing, ms.
-const HOLD_MS: u64 = 300;
-/// Idle time, in multiples of the load time, that a cold start is worth when both
-/// measures weigh the same.
-const WORTH: u64 = 2;
-/// Idle time recorded at once, ms.
-const IDLE_NOTE_MS: u64 = 1_000;
-/// Points of thrift that halve that worth.
-const HALVING: u32 = 10;
+/// Delay after a load decision, so that one without effect is not repeated immediately.
+const LOAD_DECISION_DELAY_MS: u64 = 300;
+/// Idle time that a cold start is worth, as a multiple of the load time, when `thrift`
+/// weighs both equally.
+const COLD_START_LOAD_MULTIPLE: u64 = 2;
+/// Accumulated idle time that is written to the timeline in one entry.
+const IDLE_ENTRY_MS: u64 = 1_000;
+/// Points of `thrift` that halve the idle time that a cold start is worth.
+const THRIFT_POINTS_PER_HALVING: u32 = 10;
 
 impl State {
-  /// Decides whether a group needs a further replica.
+  /// Decides whether a group needs another replica, and starts its load.
   pub fn decide(&mut self, key: group::Key) {
     let model = self.groups[key].model.clone();
-    let known = self
+    let record_read = self
       .owned
       .get(&model)
       .is_some_and(|owned| owned.record_read);
     if self.stopping || self.groups[key].hold_until > self.now {
       return;
     }
-    if !known {
+    if !record_read {
       if self.groups[key].waiting(self.now) > 0 {
-        self.audit_now(&model);
+        self.read_record_now(&model);
       }
       return;
     }
     if !self.catalog.models.contains_key(&model) {
       return;
     }
-    let (loaded, pending) = self.count(key);
+    let (loaded, pending) = self.count_replicas(key);
     let policy = self.policy(&self.groups[key].policy.clone());
     let waiting = self.groups[key].waiting(self.now);
     let wanted = match loaded + pending {
       0 if waiting > 0 => 1,
-      some if pending == 0 && waiting > loaded * policy.further_at => some + 1,
-      some => some,
+      count if pending == 0 && waiting > loaded * policy.further_at => count + 1,
+      count => count,
     };
     let wanted = wanted.max(policy.min_replicas).min(policy.max_replicas);
     if loaded + pending < wanted {
-      self.load(key, policy.max_replicas);
+      self.start_load(key, policy.max_replicas);
     }
   }
 
-  /// Replicas of a group that are ready, and those on their way or leaving.
-  fn count(&self, key: group::Key) -> (u32, u32) {
+  /// Number of ready replicas of a group, and of those being decided, loaded or unloaded.
+  fn count_replicas(&self, key: group::Key) -> (u32, u32) {
     let group = &self.groups[key];
     let of_group: Vec<&Replica> = self
       .placement(&group.model)
@@ -82,14 +82,14 @@
       && server.is_some_and(|key| self.servers[*key].ready(replica.id))
   }
 
-  fn load(&mut self, key: group::Key, limit: u32) {
+  fn start_load(&mut self, key: group::Key, limit: u32) {
     let (model, policy) = {
       let group = &self.groups[key];
       (group.model.clone(), group.policy.clone())
     };
-    self.groups[key].hold_until = self.now + HOLD_MS;
+    self.groups[key].hold_until = self.now + LOAD_DECISION_DELAY_MS;
     let Some(server) = self.choose_server(key) else {
-      self.ask_for_base(key);
+      self.request_base(key);
       return;
     };
     let id = Id(self.random(u64::MAX));
@@ -108,8 +108,8 @@
     self.start_job(&model, replica, Step::Decide, limit);
   }
 
-  /// An adapter that finds no server with its base asks for the base.
-  fn ask_for_base(&mut self, key: group::Key) {
+  /// Reports demand for the base of an adapter that no server can hold.
+  fn request_base(&mut self, key: group::Key) {
     let model = self.groups[key].model.clone();
     let spec = self.catalog.models.get(&model);
     let Some(base) = spec.and_then(|spec| spec.base.clone()) else {
@@ -121,10 +121,10 @@
     let policy = self.effective_policy(spec, 0);
     let waiting = self.groups[key].waiting(self.now).max(1);
     let from = format!("{}:{model}", self.me.instance);
-    self.tell_for(&from, &base, &policy, waiting);
+    self.report_demand_for(&from, &base, &policy, waiting);
   }
 
-  fn tell_for(&mut self, from: &str, model: &str, policy: &str, waiting: u32) {
+  fn report_demand_for(&mut self, from: &str, model: &str, policy: &str, waiting: u32) {
     let owner = self.members.owner(model).map(str::to_string);
     match owner {
       Some(owner) if owner != self.me.instance => {
@@ -151,9 +151,8 @@
     }
   }
 
-  /// Lets go of replicas that are idle for long, and of those on servers that
-  /// leave.
-  pub fn let_go(&mut self, key: group::Key) {
+  /// Retires replicas whose keep-alive has expired and those on servers that are leaving.
+  pub fn retire_unneeded(&mut self, key: group::Key) {
     let model = self.groups[key].model.clone();
     if !self
       .owned
@@ -165,15 +164,18 @@
     let replicas = self.placement(&model).to_vec();
     let policy_name = self.groups[key].policy.clone();
     let policy = self.policy(&policy_name);
-    let mut kept = standing(&replicas, &policy_name);
+    let mut kept = count_decided(&replicas, &policy_name);
     for replica in replicas {
-      let idle = replica.policy == policy_name && self.idle_out(key, &policy.keep_alive);
-      let spare = kept > policy.min_replicas;
+      let expired =
+        replica.policy == policy_name && self.keep_alive_expired(key, &policy.keep_alive);
+      let above_minimum = kept > policy.min_replicas;
       let leaving = !self.is_usable(&replica.server);
       let why = match () {
         () if replica.target == Target::Gone => "withdrawn",
         () if leaving => "server leaving",
-        () if idle && spare && !self.carries_here(&replica.server, &model) => "idle",
+        () if expired && above_minimum && !self.has_decided_adapters(&replica.server, &model) => {
+          "idle"
+        }
         () => continue,
       };
       kept = kept.saturating_sub(1);
@@ -181,27 +183,27 @@
     }
   }
 
-  /// Adds up the time for which ready replicas of an owned group stand idle.
+  /// Accumulates the idle time of ready replicas of an owned group.
   pub fn count_idle(&mut self, key: group::Key) {
     if !self.owned.contains_key(&self.groups[key].model) {
       return;
     }
-    let ready = u64::from(self.count(key).0);
+    let ready = u64::from(self.count_replicas(key).0);
     let now = self.now;
     let group = &mut self.groups[key];
-    let since = std::mem::replace(&mut group.idle_at, now);
+    let since = std::mem::replace(&mut group.idle_counted_until, now);
     let idle = !group.in_use(now) && since > 0;
-    let added = if idle { (now - since) * ready } else { 0 };
-    group.idle_ms += added;
-    let due = group.idle_ms >= IDLE_NOTE_MS || (added == 0 && group.idle_ms > 0);
-    if due {
+    let added_ms = if idle { (now - since) * ready } else { 0 };
+    group.idle_ms += added_ms;
+    let write_entry = group.idle_ms >= IDLE_ENTRY_MS || (added_ms == 0 && group.idle_ms > 0);
+    if write_entry {
       let ms = std::mem::take(&mut group.idle_ms);
       let (model, policy) = (group.model.clone(), group.policy.clone());
       self.log(Entry::Idle { model, policy, ms });
     }
   }
 
-  fn carries_here(&self, server: &str, base: &str) -> bool {
+  fn has_decided_adapters(&self, server: &str, base: &str) -> bool {
     let Some(key) = self.server_keys.get(server) else {
       return false;
     };
@@ -211,20 +213,22 @@
       .any(|spec| spec.base.as_deref() == Some(base))
   }
 
-  fn idle_out(&self, key: group::Key, keep: &KeepAlive) -> bool {
+  fn keep_alive_expired(&self, key: group::Key, keep_alive: &KeepAlive) -> bool {
     let group = &self.groups[key];
     if group.in_use(self.now) || group.last_use == 0 {
       return false;
     }
-    let keep_ms = match keep {
+    let keep_ms = match keep_alive {
       KeepAlive::Fixed(ms) => *ms,
-      KeepAlive::Adaptive(most) => group.history.keep_alive(self.penalty(key), *most),
+      KeepAlive::Adaptive(max_ms) => group
+        .history
+        .keep_alive(self.cold_start_penalty_ms(key), *max_ms),
     };
     self.now >= group.last_use + keep_ms
   }
 
-  /// Idle time that a cold start of the group's model is worth, ms.
-  fn penalty(&self, key: group::Key) -> u64 {
+  /// Idle time in ms that a cold start of the group's model is worth.
+  fn cold_start_penalty_ms(&self, key: group::Key) -> u64 {
     let model = &self.groups[key].model;
     let tier = self
       .placement(model)
@@ -233,17 +237,18 @@
       .map(|server| self.servers[*server].tier(model))
       .min()
       .unwrap_or(Tier::Remote);
-    let base = self.load_estimate(model, tier).max(1) * WORTH;
+    let balanced_ms = self.load_estimate(model, tier).max(1) * COLD_START_LOAD_MULTIPLE;
     let thrift = self.limits.thrift;
-    let halvings = thrift.abs_diff(50) / HALVING;
+    let halvings = thrift.abs_diff(50) / THRIFT_POINTS_PER_HALVING;
     if thrift > 50 {
-      base >> halvings
+      balanced_ms >> halvings
     } else {
-      base << halvings
+      balanced_ms << halvings
     }
   }
 
-  /// Starts letting a replica go, unless a job is at work on it already.
+  /// Starts to unload a replica unless it already has a job. A load in progress is abandoned
+  /// if its server is leaving.
   pub fn retire(&mut self, model: &str, replica: Replica, why: &str) {
     if let Some(job) = self.jobs.get_mut(&replica.id) {
       if job.is_loading() && job.step != Step::Deregister && why == "server leaving" {
@@ -260,7 +265,7 @@
     self.start_job(model, replica, Step::Retire, 0);
   }
 
-  /// Another model has use for the memory of an idle replica.
+  /// Retires an idle replica whose memory another model needs.
   pub fn on_yield(&mut self, model: &str, id: Id) {
     let replicas = self.placement(model);
     let Some(replica) = replicas.iter().find(|replica| replica.id == id).cloned() else {
@@ -268,15 +273,15 @@
     };
     let key = self.group(model, &replica.policy);
     let policy = self.policy(&replica.policy);
-    let standing = standing(self.placement(model), &replica.policy);
+    let kept = count_decided(self.placement(model), &replica.policy);
     let busy = self.groups[key].in_use(self.now);
-    if busy || standing <= policy.min_replicas || self.carries_here(&replica.server, model) {
+    if busy || kept <= policy.min_replicas || self.has_decided_adapters(&replica.server, model) {
       return;
     }
     self.retire(model, replica, "yields");
   }
 
-  /// Decides again for a model on a server whose state changed.
+  /// Checks the replicas of a model again after the state of a server changed.
   pub fn recheck_model(&mut self, model: &str) {
     let groups: Vec<group::Key> = self
       .active
@@ -285,7 +290,7 @@
       .filter(|key| self.groups[*key].model == model)
       .collect();
     for key in groups {
-      self.let_go(key);
+      self.retire_unneeded(key);
     }
   }
 
@@ -295,7 +300,7 @@
   }
 }
 
-fn standing(replicas: &[Replica], policy: &str) -> u32 {
+fn count_decided(replicas: &[Replica], policy: &str) -> u32 {
   let of_policy = replicas
     .iter()
     .filter(|replica| replica.policy == policy && replica.target == Target::Loaded);
--- a/src/effect.rs
+++ b/src/effect.rs
@@ -1,4 +1,4 @@
-//! Everything an instance can do, as data.
+//! Effects that the reducer of an instance requests, as data.
 
 use crate::{
   ask::{Class, Ticket},
@@ -13,20 +13,20 @@
   update,
 };
 
-/// Something to do.
+/// An action to execute.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Effect {
   /// Send a request to a backend server.
   Send(Attempt),
-  /// Notify a caller that the request is not served.
+  /// Refuse a caller's request.
   Refuse { ticket: Ticket, refusal: Refusal },
-  /// Send a caller the recorded answer of an earlier call.
+  /// Send a caller the recorded response of an earlier call.
   Replay {
     ticket: Ticket,
     status: u16,
     body: Option<String>,
   },
-  /// Answer a caller's batch call.
+  /// Respond to a caller's batch call.
   BatchAnswer {
     ticket: Ticket,
     outcome: update::Outcome,
@@ -42,19 +42,19 @@
     deadline: u64,
     caller: u64,
   },
-  /// Change an object; without a change, read it.
+  /// Update an object, or read it if `change` is `None`.
   Update {
     tag: Tag,
     name: Name,
     change: Option<update::Change>,
-    /// Decisions go before status.
+    /// Whether the call takes precedence; decisions precede status.
     urgent: bool,
   },
-  /// Remove an object that still has this version.
+  /// Remove an object if it still has this version.
   Remove { name: Name, version: u64 },
   /// Send an order to an engine.
   Order { order: Order, step: u64 },
-  /// Ask an engine for its status.
+  /// Poll an engine for its status.
   Poll { server: String, address: String },
   /// Send a delta to a neighbour.
   Exchange {
@@ -62,28 +62,28 @@
     address: String,
     delta: Delta,
   },
-  /// Answer a neighbour's delta.
+  /// Respond to a neighbour's delta.
   Answer { call: Call, delta: Delta },
   /// Send notices to one instance.
   Notify { address: String, items: Vec<Notice> },
-  /// Ask the shard's owner for claims.
+  /// Send claim changes to the owner of their shard.
   Claim {
     address: String,
     shard: u32,
     group: u64,
     changes: Vec<claim::Change>,
   },
-  /// Answer another instance's claims.
+  /// Respond to another instance's claim changes.
   ClaimAnswer {
     call: Call,
     outcomes: Vec<claim::Outcome>,
   },
-  /// Watch the platform's configuration and list, or stop watching.
+  /// Start or stop watching the platform's configuration and instance list.
   Watch(bool),
-  /// Make at most this many platform calls a second.
+  /// Limit the platform calls to this many per second.
   Rate(u32),
-  /// Record a change of state.
+  /// Add a change of state to the timeline.
   Log(Entry),
-  /// Nothing is left to do before the end.
+  /// A planned stop has no work left, so the process may exit.
   Stopped,
 }
--- a/src/event.rs
+++ b/src/event.rs
@@ -1,4 +1,4 @@
-//! Everything that can happen to an instance.
+//! Events that the reducer of an instance processes.
 
 use crate::{
   ask::{Ask, Ticket},
@@ -12,25 +12,25 @@
   update,
 };
 
-/// Says whose update or read an outcome belongs to.
+/// Identifies the update or read to which an outcome belongs.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Tag {
-  /// A step of a replica's job; the number distinguishes a late answer from a current
+  /// A step of a replica's job; the number distinguishes a late response from a current
   /// one.
   Job { replica: Id, step: u64 },
   /// A read of the model's record.
   Audit { model: String },
   /// A read of the server's record.
   Inspect { server: String },
-  /// The grouped change of a claim shard.
+  /// A group of changes to a claim shard.
   Claims { shard: u32, group: u64 },
-  /// A submission, poll or cancellation by a caller.
+  /// A submission, poll or cancellation of a batch by a caller.
   Caller { ticket: Ticket },
   /// A batch that this instance runs.
   Batch { id: String },
 }
 
-/// An exchange with a neighbour, decoded.
+/// A decoded exchange message of a neighbour.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Delta {
   pub from: String,
@@ -41,11 +41,11 @@
   pub upto: u64,
   /// Encoded facts.
   pub facts: Vec<Vec<u8>>,
-  /// Repair hashes; empty when not compared.
+  /// Repair hashes; empty if they are not compared in this exchange.
   pub buckets: Vec<u64>,
 }
 
-/// Identifies a call of another instance that waits for an answer.
+/// Identifies a call of another instance that waits for a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Call(pub u64);
 
@@ -58,21 +58,21 @@
   pub state: Listed,
 }
 
-/// Something that happened.
+/// An input of the reducer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
   /// Time has passed.
   Tick,
   /// A caller's request arrived.
   RequestArrived(Ask),
-  /// The caller of a waiting request has gone.
+  /// The caller of a waiting request disconnected.
   CallerLeft { ticket: Ticket },
   /// An attempt ended.
   AttemptEnded {
     ticket: Ticket,
     number: u32,
     end: End,
-    /// Status and body of a service's answer, kept with its claim.
+    /// Status and body of a service's response, stored with its claim.
     answer: Option<(u16, Option<String>)>,
   },
   /// A caller submits, polls or cancels a batch.
@@ -81,7 +81,7 @@
     id: String,
     change: Option<crate::batch::Change>,
   },
-  /// One item of a batch run by this instance has its outcome.
+  /// An item of a batch that this instance runs has an outcome.
   ItemEnded {
     id: String,
     index: usize,
@@ -99,7 +99,7 @@
     step: u64,
     outcome: order::Outcome,
   },
-  /// An engine answered, or did not.
+  /// A status poll of an engine ended, with or without a response.
   Reported(order::Status),
   /// Configuration objects were read from the platform.
   Watched(Vec<Object>),
@@ -110,24 +110,24 @@
     revision: u64,
     entries: Vec<Listing>,
   },
-  /// A neighbour sent a delta and waits for ours.
+  /// A neighbour sent a delta and waits for one in return.
   Exchange { call: Call, delta: Delta },
-  /// A neighbour answered our delta.
+  /// An exchange with a neighbour ended; `delta` is `None` without a response.
   Exchanged { peer: String, delta: Option<Delta> },
-  /// Notices came from another instance.
+  /// Another instance sent notices.
   Notified { from: String, items: Vec<Notice> },
-  /// Another instance asks for claims in a shard and waits.
+  /// Another instance requests changes of claims in a shard and waits for the outcomes.
   ClaimsRequested {
     call: Call,
     shard: u32,
     changes: Vec<claim::Change>,
   },
-  /// The shard's owner answered our claims.
+  /// A claim request to the shard's owner ended; `outcomes` is `None` without a response.
   ClaimAnswered {
     shard: u32,
     group: u64,
     outcomes: Option<Vec<claim::Outcome>>,
   },
-  /// The instance is to stop.
+  /// A planned stop was requested.
   Stop,
 }
--- a/src/job.rs
+++ b/src/job.rs
@@ -1,71 +1,74 @@
-//! The work on one replica: from a decision to a loaded replica, or back.
+//! The job that loads or unloads one replica.
 
 use crate::replica::Replica;
 
-/// Steps of a job, in order; a failed step goes back to an earlier one.
+/// Steps of a job in their normal order; a failure leads back to an earlier step.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Step {
-  /// Look whether a reservation found in a server record is decided at all.
+  /// Check whether the model record contains the replica of a reservation found in a
+  /// server record.
   Inspect,
   /// Write the decision into the model record.
   Decide,
-  /// Reserve memory and a fencing number in the server record.
+  /// Reserve memory and obtain a fencing token in the server record.
   Reserve,
-  /// Ask the engine which idle replicas could give way.
-  MakeRoom,
-  /// Read the decision once more.
+  /// Poll the engine for idle replicas that can be evicted.
+  Evict,
+  /// Read the decision again before the load order.
   Verify,
   /// Order the load.
   Load,
-  /// Wait until the engine shows the replica ready.
+  /// Wait until the engine reports the replica ready.
   AwaitReady,
-  /// Leave the list of possible senders of orders.
+  /// Remove this process from the orderers of the reservation.
   Deregister,
   /// Withdraw the decision.
   Retire,
   /// Wait until no instance sends requests to the replica.
   Drain,
-  /// Turn the reservation to unloading.
-  Unreserve,
+  /// Switch the reservation to unloading.
+  MarkUnloading,
   /// Order the unload.
   Unload,
-  /// Wait until the engine shows the replica gone.
+  /// Wait until the engine reports the replica gone.
   AwaitGone,
-  /// Free the memory.
+  /// Release the reserved memory.
   Release,
-  /// Forget the replica.
+  /// Remove the replica from the model record.
   Drop,
 }
 
-/// A job.
+/// Loads or unloads one replica.
 #[derive(Clone, Debug)]
 pub struct Job {
   pub model: String,
   pub replica: Replica,
   pub step: Step,
-  /// Rises with every action, so that late answers are distinguished.
+  /// Incremented with every action, so that late responses are recognized.
   pub number: u64,
-  /// Time of the next action, ms.
+  /// Time in ms of the next action.
   pub due: u64,
-  /// Failures in a row.
+  /// Consecutive failures, or polls in a step that waits for the engine.
   pub failures: u32,
-  /// When the current step began, ms.
+  /// Time in ms at which the current step started.
   pub step_started_at: u64,
-  /// When the job began, ms.
+  /// Time in ms at which the job started.
   pub started_at: u64,
-  /// Time after which loading is given up, ms.
+  /// Time in ms at which the load is abandoned.
   pub load_deadline: u64,
-  /// The job began with the decision, so the replica served nobody before.
+  /// Whether the job started with the decision, so that the replica has not served
+  /// requests before.
   pub is_new: bool,
-  /// Newest fencing number; 0 before the reservation.
+  /// Latest fencing token; 0 before the reservation.
   pub fence: u64,
-  /// Time until which an order of this instance may still arrive, ms.
+  /// Time in ms until which an order of this instance or of an ended orderer may still arrive
+  /// at the engine.
   pub in_flight_until: u64,
-  /// Most replicas under the policy, for the decision.
+  /// Maximum number of replicas under the policy, checked by the decision.
   pub limit: u32,
-  /// Senders of orders known to have ended.
+  /// Orderers that are known to have ended.
   pub ended_orderers: Vec<String>,
-  /// When the decision was last asked for, ms.
+  /// Time in ms of the last request to read the decision.
   pub decision_read_at: u64,
 }
 
--- a/src/jobs.rs
+++ b/src/jobs.rs
@@ -1,8 +1,8 @@
-//! Jobs: each step of loading and unloading one replica.
+//! Execution of the job steps that load and unload a replica.
 //!
-//! Decide first, reserve second, look at the decision once more, then order.
-//! Every step may be done again: an answer that does not come leads back to a
-//! step whose repetition changes nothing or completes what was begun.
+//! A load writes the decision, reserves memory, reads the decision again and then sends
+//! the order. Every step can be repeated: after a missing response the job returns to a
+//! step that is idempotent or completes what was started.
 
 use crate::{
   effect::Effect,
@@ -18,14 +18,16 @@
   update::Change,
 };
 
-/// Pause before a failed step is tried again, ms, and its most.
-const RETRY_MS: u64 = 50;
-const RETRY_MOST_MS: u64 = 2_000;
-/// Pause between questions to an engine that is at work for a job, ms.
-const ASK_MS: u64 = 25;
-const ASK_MOST_MS: u64 = 200;
-/// Time after which an answer that has not come counts as lost, ms.
-const LOST_MS: u64 = 20_000;
+/// Initial delay before a failed step is retried.
+const MIN_RETRY_DELAY_MS: u64 = 50;
+/// Maximum delay before a failed step is retried.
+const MAX_RETRY_DELAY_MS: u64 = 2_000;
+/// Initial interval between polls of an engine that works on a job.
+const MIN_POLL_INTERVAL_MS: u64 = 25;
+/// Maximum interval between polls of an engine that works on a job.
+const MAX_POLL_INTERVAL_MS: u64 = 200;
+/// Time after which a missing response counts as lost.
+const RESPONSE_TIMEOUT_MS: u64 = 20_000;
 
 impl State {
   /// Starts a job for a replica.
@@ -49,11 +51,11 @@
       decision_read_at: 0,
     };
     self.jobs.insert(id, job);
-    self.advance(id);
+    self.run_step(id);
   }
 
-  /// Goes on with a step at once.
-  pub fn go(&mut self, id: Id, step: Step) {
+  /// Enters a step and runs it immediately.
+  pub fn enter_step(&mut self, id: Id, step: Step) {
     let now = self.now;
     if let Some(job) = self.jobs.get_mut(&id) {
       if job.step != step {
@@ -63,17 +65,17 @@
       job.failures = 0;
       job.due = now;
     }
-    self.advance(id);
+    self.run_step(id);
   }
 
-  /// Goes to a step after a pause that grows with failures in a row.
-  pub fn go_later(&mut self, id: Id, step: Step) {
+  /// Enters a step after a delay that grows with consecutive failures.
+  pub fn enter_step_later(&mut self, id: Id, step: Step) {
     let Some(job) = self.jobs.get(&id) else {
       return;
     };
     let failures = job.failures;
-    let wait = self.backoff(RETRY_MS, failures, RETRY_MOST_MS);
-    let due = self.now + wait;
+    let delay = self.backoff(MIN_RETRY_DELAY_MS, failures, MAX_RETRY_DELAY_MS);
+    let due = self.now + delay;
     if let Some(job) = self.jobs.get_mut(&id) {
       job.step = step;
       job.failures += 1;
@@ -81,7 +83,7 @@
     }
   }
 
-  /// Acts on jobs that are due.
+  /// Runs the jobs that are due.
   pub fn run_jobs(&mut self) {
     let now = self.now;
     let due: Vec<Id> = self
@@ -91,59 +93,59 @@
       .map(|(id, _)| *id)
       .collect();
     for id in due {
-      self.resume(id);
+      self.resume_job(id);
     }
   }
 
-  /// Acts on a job whose pause is over or whose answer did not come.
-  fn resume(&mut self, id: Id) {
-    let until = self.now + self.limits.order_ttl_ms;
+  /// Resumes a job after its delay or after a missing response.
+  fn resume_job(&mut self, id: Id) {
+    let in_flight_until = self.now + self.limits.order_ttl_ms;
     if let Some(job) = self.jobs.get_mut(&id) {
-      let back = match job.step {
+      let previous = match job.step {
         Step::Load => Some(Step::Reserve),
-        Step::Unload => Some(Step::Unreserve),
+        Step::Unload => Some(Step::MarkUnloading),
         _ => None,
       };
-      if let Some(step) = back {
-        // The order may have gone out: only a fresh look may repeat it.
+      if let Some(step) = previous {
+        // The order may have been sent, so it is repeated only after the records are read again.
         job.step = step;
-        job.in_flight_until = job.in_flight_until.max(until);
+        job.in_flight_until = job.in_flight_until.max(in_flight_until);
       }
     }
-    self.advance(id);
+    self.run_step(id);
   }
 
-  /// Does what the job's step asks for.
-  fn advance(&mut self, id: Id) {
+  /// Runs the current step of a job.
+  fn run_step(&mut self, id: Id) {
     let now = self.now;
     let Some(job) = self.jobs.get_mut(&id) else {
       return;
     };
     job.number += 1;
-    job.due = now + LOST_MS;
+    job.due = now + RESPONSE_TIMEOUT_MS;
     let step = job.step;
     if job.is_loading() && step != Step::Deregister && now >= job.load_deadline {
-      self.give_up_load(id);
+      self.abandon_load(id);
       return;
     }
     match step {
       Step::Inspect => self.read_decision(id),
       Step::Decide => self.write_decision(id),
-      Step::Reserve => self.reserve(id),
+      Step::Reserve => self.write_reservation(id),
       Step::Verify => self.read_decision(id),
-      Step::Load => self.order(id, Step::Load),
-      Step::MakeRoom | Step::AwaitReady | Step::AwaitGone => self.ask_engine(id),
-      Step::Deregister => self.settle(id),
-      Step::Retire => self.withdraw(id),
+      Step::Load => self.send_order(id, Step::Load),
+      Step::Evict | Step::AwaitReady | Step::AwaitGone => self.poll_engine(id),
+      Step::Deregister => self.write_deregistration(id),
+      Step::Retire => self.write_retirement(id),
       Step::Drain => self.drain(id),
-      Step::Unreserve => self.unreserve(id),
-      Step::Unload => self.order(id, Step::Unload),
-      Step::Release => self.release(id),
-      Step::Drop => self.drop_replica(id),
+      Step::MarkUnloading => self.write_unloading(id),
+      Step::Unload => self.send_order(id, Step::Unload),
+      Step::Release => self.write_release(id),
+      Step::Drop => self.remove_replica(id),
     }
   }
 
-  fn give_up_load(&mut self, id: Id) {
+  fn abandon_load(&mut self, id: Id) {
     let Some(job) = self.jobs.get(&id) else {
       return;
     };
@@ -153,10 +155,10 @@
       server: job.replica.server.clone(),
       why: "load given up".into(),
     });
-    self.go(id, Step::Retire);
+    self.enter_step(id, Step::Retire);
   }
 
-  fn update(&mut self, id: Id, kind: Kind, change: Option<Change>) {
+  fn update_record(&mut self, id: Id, kind: Kind, change: Option<Change>) {
     let Some(job) = self.jobs.get(&id) else {
       return;
     };
@@ -185,18 +187,18 @@
       replica: job.replica.clone(),
       limit: job.limit,
     };
-    self.update(id, Kind::ModelRecord, Some(Change::Model(change)));
+    self.update_record(id, Kind::ModelRecord, Some(Change::Model(change)));
   }
 
-  fn reserve(&mut self, id: Id) {
+  fn write_reservation(&mut self, id: Id) {
     let Some(job) = self.jobs.get(&id) else {
       return;
     };
     let model = job.model.clone();
     let spec = self.catalog.models.get(&model);
-    let capacity = self.spec(&job.replica.server).map(|spec| spec.memory_mb);
-    let (Some(spec), Some(capacity_mb)) = (spec, capacity) else {
-      self.go(id, Step::Retire);
+    let capacity_mb = self.spec(&job.replica.server).map(|spec| spec.memory_mb);
+    let (Some(spec), Some(capacity_mb)) = (spec, capacity_mb) else {
+      self.enter_step(id, Step::Retire);
       return;
     };
     let change = ledger::Change::Reserve {
@@ -206,7 +208,7 @@
       capacity_mb,
       orderer: self.orderer(),
     };
-    self.update(id, Kind::ServerRecord, Some(Change::Server(change)));
+    self.update_record(id, Kind::ServerRecord, Some(Change::Server(change)));
   }
 
   fn read_decision(&mut self, id: Id) {
@@ -214,41 +216,41 @@
     if let Some(job) = self.jobs.get_mut(&id) {
       job.decision_read_at = now;
     }
-    self.update(id, Kind::ModelRecord, None);
+    self.update_record(id, Kind::ModelRecord, None);
   }
 
-  fn withdraw(&mut self, id: Id) {
+  fn write_retirement(&mut self, id: Id) {
     let Some(job) = self.jobs.get(&id) else {
       return;
     };
-    let names = (job.model.clone(), job.replica.policy.clone());
-    let group = self.group_keys.get(&names);
+    let group_name = (job.model.clone(), job.replica.policy.clone());
+    let group = self.group_keys.get(&group_name);
     let gaps = group.map(|key| self.groups[*key].history.counts().to_vec());
     let gaps = gaps.unwrap_or_default();
     let change = record::Change::Retire { id, gaps };
-    self.update(id, Kind::ModelRecord, Some(Change::Model(change)));
+    self.update_record(id, Kind::ModelRecord, Some(Change::Model(change)));
   }
 
   fn drain(&mut self, id: Id) {
     let due = self.now + self.limits.drain_ms;
     if let Some(job) = self.jobs.get_mut(&id) {
-      job.step = Step::Unreserve;
+      job.step = Step::MarkUnloading;
       job.due = due;
     }
   }
 
-  fn unreserve(&mut self, id: Id) {
+  fn write_unloading(&mut self, id: Id) {
     let orderer = self.orderer();
-    let unsure_until = self.jobs.get(&id).map(|job| job.in_flight_until);
+    let in_flight_until = self.jobs.get(&id).map(|job| job.in_flight_until);
     let change = ledger::Change::Unload {
       replica: id,
       orderer,
-      deregister: unsure_until.unwrap_or_default() <= self.now,
+      deregister: in_flight_until.unwrap_or_default() <= self.now,
     };
-    self.update(id, Kind::ServerRecord, Some(Change::Server(change)));
+    self.update_record(id, Kind::ServerRecord, Some(Change::Server(change)));
   }
 
-  fn settle(&mut self, id: Id) {
+  fn write_deregistration(&mut self, id: Id) {
     let orderer = self.orderer();
     let now = self.now;
     if let Some(job) = self.jobs.get_mut(&id)
@@ -261,52 +263,52 @@
       replica: id,
       orderer,
     };
-    self.update(id, Kind::ServerRecord, Some(Change::Server(change)));
+    self.update_record(id, Kind::ServerRecord, Some(Change::Server(change)));
   }
 
-  fn release(&mut self, id: Id) {
+  fn write_release(&mut self, id: Id) {
     let now = self.now;
     let Some(job) = self.jobs.get_mut(&id) else {
       return;
     };
     let server = job.replica.server.clone();
-    let gone = self.server_gone(&server);
+    let server_gone = self.server_gone(&server);
     let fenced = self.spec(&server).is_some_and(|spec| spec.fencing);
     let Some(job) = self.jobs.get_mut(&id) else {
       return;
     };
-    if !gone && !fenced && job.in_flight_until > now {
+    if !server_gone && !fenced && job.in_flight_until > now {
       job.due = job.in_flight_until;
       job.step = Step::AwaitGone;
       return;
     }
-    let orderers = job.ended_orderers.clone();
+    let ended_orderers = job.ended_orderers.clone();
     let change = ledger::Change::Release {
       replica: id,
       orderer: self.orderer(),
-      fenced: fenced || gone,
-      gone: orderers,
+      fenced: fenced || server_gone,
+      gone: ended_orderers,
     };
-    self.update(id, Kind::ServerRecord, Some(Change::Server(change)));
+    self.update_record(id, Kind::ServerRecord, Some(Change::Server(change)));
   }
 
-  fn drop_replica(&mut self, id: Id) {
+  fn remove_replica(&mut self, id: Id) {
     let change = record::Change::Drop { id };
-    self.update(id, Kind::ModelRecord, Some(Change::Model(change)));
+    self.update_record(id, Kind::ModelRecord, Some(Change::Model(change)));
   }
 
-  fn order(&mut self, id: Id, step: Step) {
+  fn send_order(&mut self, id: Id, step: Step) {
     let Some(job) = self.jobs.get(&id) else {
       return;
     };
     let (model, server) = (job.model.clone(), job.replica.server.clone());
     let (fence, number) = (job.fence, job.number);
-    let job_read_at = job.decision_read_at;
+    let decision_read_at = job.decision_read_at;
     let spec = self.catalog.models.get(&model);
     let base = spec.and_then(|spec| spec.base.clone());
     let memory_mb = spec.map(|spec| spec.memory_mb).unwrap_or_default();
     let Some(address) = self.spec(&server).map(|spec| spec.address.clone()) else {
-      self.go_later(id, Step::Retire);
+      self.enter_step_later(id, Step::Retire);
       return;
     };
     let act = match step {
@@ -326,9 +328,10 @@
         server,
       });
     }
-    // What was read last binds only for so long, however late it came.
+    // The decision is valid for a limited time from the read request, however late the
+    // response arrived.
     let read_at = match step {
-      Step::Load => job_read_at,
+      Step::Load => decision_read_at,
       _ => self.now,
     };
     let fresh_until = read_at + self.limits.fresh_ms;
@@ -345,18 +348,18 @@
     });
   }
 
-  fn ask_engine(&mut self, id: Id) {
+  fn poll_engine(&mut self, id: Id) {
     let Some(job) = self.jobs.get(&id) else {
       return;
     };
     let server = job.replica.server.clone();
     if job.step == Step::AwaitGone && self.server_gone(&server) {
-      self.go(id, Step::Release);
+      self.enter_step(id, Step::Release);
       return;
     }
     let failures = job.failures;
-    let wait = self.backoff(ASK_MS, failures.min(3), ASK_MOST_MS);
-    let due = self.now + wait;
+    let delay = self.backoff(MIN_POLL_INTERVAL_MS, failures.min(3), MAX_POLL_INTERVAL_MS);
+    let due = self.now + delay;
     if let Some(job) = self.jobs.get_mut(&id) {
       job.due = due;
       job.failures += 1;
--- a/src/ledger.rs
+++ b/src/ledger.rs
@@ -1,16 +1,15 @@
-//! The server record: memory reserved on a backend server, and its fencing
-//! number.
+//! The server record, which holds the memory reservations and the fencing token of a
+//! backend server.
 //!
-//! A replica may be ordered only if its model record decides it and the ledger
-//! reserves its memory. A reservation names every process that may still send
-//! an order for the replica; it is released only when the engine has shown the
-//! replica gone and, unless the engine checks fencing numbers, no such process
-//! is left.
+//! A load may be ordered only if the model record contains the replica and the ledger
+//! reserves its memory. A reservation lists every process that may still send an order
+//! for the replica. It is released only after the engine reports the replica gone and,
+//! unless the engine checks fencing tokens, no such process is left.
 
 use crate::replica::Id;
 use serde::{Deserialize, Serialize};
 
-/// What orders for a reserved replica say.
+/// Operation that the orders for a reserved replica request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Phase {
@@ -18,21 +17,21 @@
   Unload,
 }
 
-/// Memory held for one replica.
+/// Memory reservation for one replica.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Reservation {
   pub replica: Id,
   pub model: String,
   pub memory_mb: u64,
   pub phase: Phase,
-  /// Processes, as `instance/boot`, with a load order that may be in flight.
+  /// Processes whose load order may be in flight, as `instance/boot`.
   pub orderers: Vec<String>,
 }
 
 /// Reservations on one backend server.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ledger {
-  /// Highest fencing number given out.
+  /// Highest fencing token issued.
   pub fence: u64,
   pub reservations: Vec<Reservation>,
 }
@@ -40,8 +39,8 @@
 /// A change of a server record.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
-  /// Reserves memory, or joins the reservation as a further orderer; the fencing
-  /// number rises.
+  /// Reserves memory, or adds an orderer to an existing reservation. Increments the
+  /// fencing token.
   Reserve {
     replica: Id,
     model: String,
@@ -49,17 +48,19 @@
     capacity_mb: u64,
     orderer: String,
   },
-  /// Turns the reservation to unloading; the fencing number rises. `settled`: no
-  /// load order of the sender is on its way. Orders to unload need no sender's
-  /// name: one that comes late finds nothing, since ids are never used again.
+  /// Switches the reservation to unloading and increments the fencing token.
+  /// `deregister` is set if no load order of the orderer is in flight. Orderers of an
+  /// unload are not listed: a late unload order finds no replica, since ids are never
+  /// reused.
   Unload {
     replica: Id,
     orderer: String,
     deregister: bool,
   },
-  /// The orderer has no order in flight for the replica any more.
+  /// Removes an orderer that no longer has an order in flight for the replica.
   Deregister { replica: Id, orderer: String },
-  /// Frees the memory. `fenced`: the engine refuses the orders of others.
+  /// Releases the memory. `fenced` is set if the engine refuses orders of other
+  /// processes; `gone` lists orderers that have ended.
   Release {
     replica: Id,
     orderer: String,
@@ -71,20 +72,24 @@
 /// Why a change was not applied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rejection {
-  /// The server has too little memory left.
+  /// The server does not have enough free memory.
   Memory,
   /// The replica is being unloaded.
   Unloading,
-  /// No reservation stands for the replica.
+  /// The replica has no reservation.
   Missing,
   /// Another process may still send an order.
   InFlight,
 }
 
 impl Ledger {
-  /// Memory reserved, in MB.
+  /// Total reserved memory in MB.
   pub fn reserved_mb(&self) -> u64 {
-    self.reservations.iter().map(|held| held.memory_mb).sum()
+    self
+      .reservations
+      .iter()
+      .map(|reservation| reservation.memory_mb)
+      .sum()
   }
 
   /// The reservation for a replica.
@@ -92,17 +97,17 @@
     self
       .reservations
       .iter()
-      .find(|held| held.replica == replica)
+      .find(|reservation| reservation.replica == replica)
   }
 
   fn find_mut(&mut self, replica: Id) -> Option<&mut Reservation> {
     self
       .reservations
       .iter_mut()
-      .find(|held| held.replica == replica)
+      .find(|reservation| reservation.replica == replica)
   }
 
-  /// Applies a change; true when the record differs afterwards.
+  /// Applies a change and returns whether the record differs afterwards.
   pub fn apply(&mut self, change: &Change) -> Result<bool, Rejection> {
     match change {
       Change::Reserve {
@@ -115,9 +120,9 @@
       Change::Unload {
         replica,
         orderer,
-        deregister: settled,
-      } => self.unload(*replica, orderer, *settled),
-      Change::Deregister { replica, orderer } => Ok(self.settle(*replica, orderer)),
+        deregister,
+      } => self.unload(*replica, orderer, *deregister),
+      Change::Deregister { replica, orderer } => Ok(self.deregister(*replica, orderer)),
       Change::Release {
         replica,
         orderer,
@@ -135,11 +140,11 @@
     capacity_mb: u64,
     orderer: &str,
   ) -> Result<bool, Rejection> {
-    if let Some(held) = self.find_mut(replica) {
-      if held.phase == Phase::Unload {
+    if let Some(reservation) = self.find_mut(replica) {
+      if reservation.phase == Phase::Unload {
         return Err(Rejection::Unloading);
       }
-      join(held, orderer);
+      add_orderer(reservation, orderer);
       self.fence += 1;
       return Ok(true);
     }
@@ -157,23 +162,23 @@
     Ok(true)
   }
 
-  fn unload(&mut self, replica: Id, orderer: &str, settled: bool) -> Result<bool, Rejection> {
-    let held = self.find_mut(replica).ok_or(Rejection::Missing)?;
-    held.phase = Phase::Unload;
-    if settled {
-      held.orderers.retain(|other| other != orderer);
+  fn unload(&mut self, replica: Id, orderer: &str, deregister: bool) -> Result<bool, Rejection> {
+    let reservation = self.find_mut(replica).ok_or(Rejection::Missing)?;
+    reservation.phase = Phase::Unload;
+    if deregister {
+      reservation.orderers.retain(|other| other != orderer);
     }
     self.fence += 1;
     Ok(true)
   }
 
-  fn settle(&mut self, replica: Id, orderer: &str) -> bool {
-    let Some(held) = self.find_mut(replica) else {
+  fn deregister(&mut self, replica: Id, orderer: &str) -> bool {
+    let Some(reservation) = self.find_mut(replica) else {
       return false;
     };
-    let before = held.orderers.len();
-    held.orderers.retain(|held| held != orderer);
-    held.orderers.len() != before
+    let count_before = reservation.orderers.len();
+    reservation.orderers.retain(|other| other != orderer);
+    reservation.orderers.len() != count_before
   }
 
   fn release(
@@ -183,23 +188,25 @@
     fenced: bool,
     gone: &[String],
   ) -> Result<bool, Rejection> {
-    let Some(held) = self.find(replica) else {
+    let Some(reservation) = self.find(replica) else {
       return Ok(false);
     };
-    let settled = held
+    let none_in_flight = reservation
       .orderers
       .iter()
       .all(|other| other == orderer || gone.contains(other));
-    if !fenced && !settled {
+    if !fenced && !none_in_flight {
       return Err(Rejection::InFlight);
     }
-    self.reservations.retain(|held| held.replica != replica);
+    self
+      .reservations
+      .retain(|reservation| reservation.replica != replica);
     Ok(true)
   }
 }
 
-fn join(held: &mut Reservation, orderer: &str) {
-  if !held.orderers.iter().any(|other| other == orderer) {
-    held.orderers.push(orderer.into());
+fn add_orderer(reservation: &mut Reservation, orderer: &str) {
+  if !reservation.orderers.iter().any(|other| other == orderer) {
+    reservation.orderers.push(orderer.into());
   }
 }
--- a/src/order.rs
+++ b/src/order.rs
@@ -1,8 +1,8 @@
-//! Orders to engines.
+//! Orders to engines to load or unload a replica.
 
 use crate::{replica::Id, report::Report};
 
-/// What an engine is ordered to do.
+/// Operation that an engine is ordered to perform.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Act {
   Load {
@@ -17,37 +17,37 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Order {
   pub server: String,
-  /// Address of the engine, `ip:port`.
+  /// Address of the engine, as `ip:port`.
   pub address: String,
   pub replica: Id,
   pub act: Act,
-  /// Fencing number from the server record.
+  /// Fencing token from the server record.
   pub fence: u64,
-  /// Time after which the order may no longer be sent, ms.
+  /// Time in ms after which the order must not be sent.
   pub fresh_until: u64,
 }
 
-/// What became of an order.
+/// Outcome of an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-  /// The engine has taken it.
+  /// The engine accepted the order.
   Accepted,
-  /// The engine has seen a higher fencing number; it did nothing.
+  /// The engine has seen a higher fencing token and did nothing.
   Stale,
-  /// The engine declined; it did nothing.
+  /// The engine declined the order and did nothing.
   Declined,
-  /// It was not sent.
+  /// The order was not sent.
   NotSent,
-  /// No answer; it may have been taken, or may yet arrive.
+  /// No response arrived; the order may have been accepted or may still arrive.
   Unknown,
 }
 
-/// A status report with the time at which it was asked for.
+/// Result of a status poll.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Status {
   pub server: String,
-  /// When the question was sent, ms.
+  /// Time in ms at which the poll was sent.
   pub requested_at: u64,
-  /// `None` when the engine did not answer.
+  /// `None` if the engine did not respond.
   pub report: Option<Report>,
 }
--- a/src/outcomes.rs
+++ b/src/outcomes.rs
@@ -1,8 +1,8 @@
-//! What follows from the outcome of each step of a job.
+//! Transitions of a job after the outcome of each step.
 
 use crate::{
   fact::{Body, Key, Version},
-  group::blend,
+  group::moving_average,
   job::Step,
   journal::Entry,
   ledger,
@@ -16,7 +16,7 @@
 };
 
 impl State {
-  /// Takes up the end of a job's update or read.
+  /// Handles the outcome of a job's update or read.
   pub fn on_job_updated(&mut self, id: Id, number: u64, outcome: Outcome) {
     let Some(job) = self.jobs.get(&id) else {
       return;
@@ -29,7 +29,7 @@
     if let Outcome::Applied(stored) | Outcome::Rejected(_, stored) = &outcome
       && let Value::Model(record) = &stored.value
     {
-      self.see_record(&model, stored.version, record);
+      self.publish_record(&model, stored.version, record);
     }
     match outcome {
       Outcome::Unavailable => self.on_unavailable(id, step),
@@ -39,13 +39,13 @@
   }
 
   fn on_unavailable(&mut self, id: Id, step: Step) {
-    // The reservation is read again before an order that was not verified.
-    let back = if step == Step::Verify {
+    // The decision was not verified, so the reservation is read again before the order.
+    let next = if step == Step::Verify {
       Step::Reserve
     } else {
       step
     };
-    self.go_later(id, back);
+    self.enter_step_later(id, next);
   }
 
   fn on_applied(&mut self, id: Id, step: Step, value: &Value) {
@@ -54,26 +54,26 @@
     }
     match step {
       Step::Inspect => self.on_inspected(id, value),
-      Step::Decide => self.go(id, Step::Reserve),
-      Step::Reserve => self.go(id, Step::Verify),
+      Step::Decide => self.enter_step(id, Step::Reserve),
+      Step::Reserve => self.enter_step(id, Step::Verify),
       Step::Verify => self.on_verified(id, value),
-      Step::Retire => self.on_withdrawn(id),
-      Step::Unreserve => self.go(id, Step::Unload),
-      Step::Release => self.go(id, Step::Drop),
+      Step::Retire => self.on_retired(id),
+      Step::MarkUnloading => self.enter_step(id, Step::Unload),
+      Step::Release => self.enter_step(id, Step::Drop),
       Step::Deregister => self.end_job(id),
       Step::Drop => self.on_dropped(id),
       _ => {}
     }
   }
 
-  /// A reservation whose replica is not decided was made by a process that ended
-  /// before it could look at the decision again.
+  /// Clears a reservation whose replica is not decided: the process that made it ended
+  /// before it could read the decision again.
   fn on_inspected(&mut self, id: Id, value: &Value) {
     let decided = matches!(value, Value::Model(record) if record.find(id).is_some());
     if decided {
       self.end_job(id);
     } else {
-      self.go(id, Step::Unreserve);
+      self.enter_step(id, Step::MarkUnloading);
     }
   }
 
@@ -82,12 +82,12 @@
       return;
     };
     let target = record.find(id).map(|replica| replica.target);
-    // Withdrawn meanwhile, perhaps forgotten: the reservation is ours to clear.
+    // If the replica was retired or removed meanwhile, this job clears its reservation.
     let next = match target {
       Some(Target::Loaded) => Step::Load,
-      _ => Step::Unreserve,
+      _ => Step::MarkUnloading,
     };
-    self.go(id, next);
+    self.enter_step(id, next);
   }
 
   fn on_dropped(&mut self, id: Id) {
@@ -107,16 +107,16 @@
     match (step, why) {
       (Step::Decide, _) => self.end_job(id),
       (Step::Reserve, Server(Ledger::Memory)) => self.on_no_memory(id),
-      (Step::Reserve, Server(Ledger::Unloading)) => self.go(id, Step::Deregister),
-      (Step::Unreserve, Server(Ledger::Missing)) => self.go(id, Step::Drop),
+      (Step::Reserve, Server(Ledger::Unloading)) => self.enter_step(id, Step::Deregister),
+      (Step::MarkUnloading, Server(Ledger::Missing)) => self.enter_step(id, Step::Drop),
       (Step::Release, Server(Ledger::InFlight)) => self.on_in_flight(id, value),
       (_, Model(_)) => self.end_job(id),
-      _ => self.go_later(id, step),
+      _ => self.enter_step_later(id, step),
     }
   }
 
-  /// Others were quicker on this server: a server with room is sooner than one
-  /// where a replica must give way.
+  /// Handles a server whose memory other processes reserved first. A server with free memory
+  /// is ready sooner than one where a replica must be evicted.
   fn on_no_memory(&mut self, id: Id) {
     let Some(job) = self.jobs.get(&id) else {
       return;
@@ -124,90 +124,92 @@
     let (model, server) = (job.model.clone(), job.replica.server.clone());
     let policy_name = job.replica.policy.clone();
     let policy = self.policy(&policy_name);
-    if !self.room_elsewhere(&model, &policy, &server) {
-      self.go(id, Step::MakeRoom);
+    if !self.fits_elsewhere(&model, &policy, &server) {
+      self.enter_step(id, Step::Evict);
       return;
     }
     let key = self.server(&server);
     self.servers[key].full_until = self.now + self.limits.yield_ms;
-    // The next decision need not wait: it goes elsewhere.
+    // The next decision need not be delayed, since it chooses another server.
     let group = self.group(&model, &policy_name);
     self.groups[group].hold_until = 0;
-    self.go(id, Step::Retire);
+    self.enter_step(id, Step::Retire);
   }
 
-  /// Requests are drained only from a replica that may have taken some.
-  fn on_withdrawn(&mut self, id: Id) {
+  /// Drains the replica only if it may have received requests.
+  fn on_retired(&mut self, id: Id) {
     let reserved = self.jobs.get(&id).is_some_and(|job| job.fence > 0);
-    let placed = self.jobs.get(&id).is_some_and(|job| job.is_new);
-    let next = match placed && !reserved {
-      true => Step::Unreserve,
+    let is_new = self.jobs.get(&id).is_some_and(|job| job.is_new);
+    let next = match is_new && !reserved {
+      true => Step::MarkUnloading,
       false => Step::Drain,
     };
-    self.go(id, next);
+    self.enter_step(id, next);
   }
 
-  /// Another process may still send an order: wait until it has settled or is
-  /// known to have ended, and look at the engine again after that.
+  /// Another process may still send an order, so the job waits until that process has
+  /// deregistered or is known to have ended, and then polls the engine again.
   fn on_in_flight(&mut self, id: Id, value: &Value) {
     let Value::Server(ledger) = value else {
       return;
     };
-    let held = ledger.find(id);
-    let orderers = held.map(|held| held.orderers.clone()).unwrap_or_default();
-    let mine = self.orderer();
+    let reservation = ledger.find(id);
+    let orderers = reservation
+      .map(|reservation| reservation.orderers.clone())
+      .unwrap_or_default();
+    let own_name = self.orderer();
     let ended: Vec<String> = orderers
       .into_iter()
-      .filter(|orderer| *orderer != mine && self.process_ended(orderer))
+      .filter(|orderer| *orderer != own_name && self.process_ended(orderer))
       .collect();
-    let until = self.now + self.limits.order_ttl_ms;
+    let in_flight_until = self.now + self.limits.order_ttl_ms;
     if let Some(job) = self.jobs.get_mut(&id)
       && ended
         .iter()
         .any(|orderer| !job.ended_orderers.contains(orderer))
     {
-      // What an ended process sent last may still be on its way.
+      // The last order of an ended process may still be in flight.
       job.ended_orderers = ended;
-      job.in_flight_until = job.in_flight_until.max(until);
+      job.in_flight_until = job.in_flight_until.max(in_flight_until);
     }
-    self.go_later(id, Step::Unreserve);
+    self.enter_step_later(id, Step::MarkUnloading);
   }
 
-  /// Takes up the end of an order.
-  pub fn on_ordered(&mut self, id: Id, number: u64, outcome: order::Outcome) {
-    let until = self.now + self.limits.order_ttl_ms;
+  /// Handles the outcome of an order.
+  pub fn on_order_ended(&mut self, id: Id, number: u64, outcome: order::Outcome) {
+    let in_flight_until = self.now + self.limits.order_ttl_ms;
     let Some(job) = self.jobs.get_mut(&id) else {
       return;
     };
     if outcome == order::Outcome::Unknown {
-      job.in_flight_until = job.in_flight_until.max(until);
+      job.in_flight_until = job.in_flight_until.max(in_flight_until);
     }
     if job.number != number {
       return;
     }
     let step = job.step;
     match (step, outcome) {
-      (Step::Load, order::Outcome::Accepted) => self.go(id, Step::AwaitReady),
-      (Step::Load, order::Outcome::Declined) => self.go(id, Step::Retire),
-      (Step::Load, _) => self.go_later(id, Step::Reserve),
-      (Step::Unload, order::Outcome::Accepted) => self.go(id, Step::AwaitGone),
-      (Step::Unload, _) if self.server_gone_of(id) => self.go(id, Step::Release),
-      (Step::Unload, _) => self.go_later(id, Step::Unreserve),
+      (Step::Load, order::Outcome::Accepted) => self.enter_step(id, Step::AwaitReady),
+      (Step::Load, order::Outcome::Declined) => self.enter_step(id, Step::Retire),
+      (Step::Load, _) => self.enter_step_later(id, Step::Reserve),
+      (Step::Unload, order::Outcome::Accepted) => self.enter_step(id, Step::AwaitGone),
+      (Step::Unload, _) if self.job_server_gone(id) => self.enter_step(id, Step::Release),
+      (Step::Unload, _) => self.enter_step_later(id, Step::MarkUnloading),
       _ => {}
     }
   }
 
-  fn server_gone_of(&self, id: Id) -> bool {
+  fn job_server_gone(&self, id: Id) -> bool {
     let job = self.jobs.get(&id);
     job.is_some_and(|job| self.server_gone(&job.replica.server))
   }
 
-  /// Takes up an engine's report for every job that waits for one.
-  pub fn jobs_reported(&mut self, status: &Status) {
+  /// Passes a status report to every job that waits for one.
+  pub fn notify_jobs(&mut self, status: &Status) {
     let Some(report) = &status.report else {
       return;
     };
-    let concerned: Vec<Id> = self
+    let waiting_jobs: Vec<Id> = self
       .jobs
       .iter()
       .filter(|(_, job)| {
@@ -215,11 +217,11 @@
       })
       .map(|(id, _)| *id)
       .collect();
-    for id in concerned {
+    for id in waiting_jobs {
       match self.jobs.get(&id).map(|job| job.step) {
         Some(Step::AwaitReady) => self.on_load_report(id, report),
         Some(Step::AwaitGone) => self.on_unload_report(id, report),
-        Some(Step::MakeRoom) => self.on_room_report(id, report),
+        Some(Step::Evict) => self.on_eviction_report(id, report),
         _ => {}
       }
     }
@@ -229,8 +231,8 @@
     match report.find(id).map(|resident| resident.stage) {
       Some(Stage::Ready) => self.on_ready(id, report),
       Some(_) => {}
-      // The engine restarted or gave the load up: the same order again.
-      None => self.go_later(id, Step::Reserve),
+      // The engine restarted or abandoned the load, so the same order is sent again.
+      None => self.enter_step_later(id, Step::Reserve),
     }
   }
 
@@ -241,9 +243,13 @@
     let took_ms = self.now - job.step_started_at;
     let model = job.model.clone();
     let tier = report.tier(&model) as usize;
-    let memory = self.catalog.models.get(&model).map(|spec| spec.memory_mb);
-    if let Some(memory) = memory {
-      self.load_rates[tier] = blend(self.load_rates[tier], took_ms * 1_000 / memory.max(1)).max(1);
+    let memory_mb = self.catalog.models.get(&model).map(|spec| spec.memory_mb);
+    if let Some(memory_mb) = memory_mb {
+      self.load_us_per_mb[tier] = moving_average(
+        self.load_us_per_mb[tier],
+        took_ms * 1_000 / memory_mb.max(1),
+      )
+      .max(1);
     }
     self.log(Entry::Ready {
       model,
@@ -252,36 +258,38 @@
       policy: job.replica.policy.clone(),
       took_ms: self.now - job.started_at,
     });
-    self.go(id, Step::Deregister);
+    self.enter_step(id, Step::Deregister);
   }
 
   fn on_unload_report(&mut self, id: Id, report: &Report) {
     match report.find(id).map(|resident| resident.stage) {
-      None => self.go(id, Step::Release),
+      None => self.enter_step(id, Step::Release),
       Some(Stage::Unloading) => {}
-      // An order of another came after ours.
-      Some(_) => self.go_later(id, Step::Unreserve),
+      // An order of another process arrived after this one.
+      Some(_) => self.enter_step_later(id, Step::MarkUnloading),
     }
   }
 
-  fn on_room_report(&mut self, id: Id, report: &Report) {
+  fn on_eviction_report(&mut self, id: Id, report: &Report) {
     let Some(job) = self.jobs.get(&id) else {
       return;
     };
     let (model, policy) = (job.model.clone(), job.replica.policy.clone());
-    let began = job.started_at;
+    let started_at = job.started_at;
     let server = self.server(&job.replica.server.clone());
-    let capacity = self
+    let capacity_mb = self
       .spec(&self.servers[server].name)
       .map(|spec| spec.memory_mb);
-    let used = self.decided_mb(&self.servers[server]);
-    let need = used.saturating_sub(capacity.unwrap_or_default()).max(1);
+    let used_mb = self.decided_mb(&self.servers[server]);
+    let need_mb = used_mb
+      .saturating_sub(capacity_mb.unwrap_or_default())
+      .max(1);
     let key = self.group(&model, &policy);
-    let victims = self.victims(key, report, need);
-    // Waiting here helps no more: another server may have room.
-    if victims.is_empty() && self.now > began + 4 * self.limits.drain_ms {
+    let victims = self.victims(key, report, need_mb);
+    // Waiting longer for this server does not help, but another server may have free memory.
+    if victims.is_empty() && self.now > started_at + 4 * self.limits.drain_ms {
       self.servers[server].full_until = self.now + self.limits.yield_ms;
-      self.go(id, Step::Retire);
+      self.enter_step(id, Step::Retire);
       return;
     }
     for (model, replica) in victims {
@@ -309,8 +317,8 @@
     self.decide(key);
   }
 
-  /// Takes up a model record: what is decided is published to all.
-  pub fn see_record(&mut self, model: &str, version: u64, record: &record::Record) {
+  /// Publishes the decided replicas of a model record to all instances.
+  pub fn publish_record(&mut self, model: &str, version: u64, record: &record::Record) {
     let key = Key::Placement(model.into());
     if self.facts.version(&key).0 > version {
       return;
@@ -320,7 +328,7 @@
       owned.gaps = record.gaps.clone();
     }
     if record.replicas.is_empty() && self.facts.get(&key).is_none() {
-      // Most models are never placed: nothing is to be published.
+      // Most models never have a replica, so there is nothing to publish.
       return;
     }
     let body = Body::Placement(record.replicas.clone());
--- a/src/record.rs
+++ b/src/record.rs
@@ -1,8 +1,8 @@
-//! The model record: which replicas of a model are decided.
+//! The model record, which lists the decided replicas of a model.
 //!
-//! Changed by conditional update alone. Each change carries the identity of
-//! what it changes, so applying it again has no further effect; a writer that
-//! lost its answer reads the record back and applies the change once more.
+//! The record is changed only by conditional updates. Each change names the replica
+//! that it affects, so changes are idempotent: a writer that missed the response reads
+//! the record again and reapplies the change.
 
 use crate::replica::{Id, Replica, Target};
 use serde::{Deserialize, Serialize};
@@ -11,7 +11,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
   pub replicas: Vec<Replica>,
-  /// Inter-arrival history: counts by power of two of the gap in seconds.
+  /// Inter-arrival history, as counts by power of two of the gap in milliseconds.
   #[serde(default)]
   pub gaps: Vec<u32>,
 }
@@ -19,20 +19,20 @@
 /// A change of a model record.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
-  /// Decides a replica, unless `limit` replicas of its policy stand already.
+  /// Adds a replica unless its policy already has `limit` replicas.
   Add { replica: Replica, limit: u32 },
-  /// Decides that a replica is to go, and keeps the history.
+  /// Marks a replica for removal and stores the history.
   Retire { id: Id, gaps: Vec<u32> },
-  /// Forgets a replica that no server holds a reservation for.
+  /// Removes a replica that has no reservation on any server.
   Drop { id: Id },
 }
 
 /// Why a change was not applied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rejection {
-  /// The limit of replicas stands already.
+  /// The policy already has the maximum number of replicas.
   Limit,
-  /// The replica is to go, or is not decided.
+  /// The replica is marked for removal or not decided.
   Withdrawn,
 }
 
@@ -42,27 +42,27 @@
     self.replicas.iter().find(|replica| replica.id == id)
   }
 
-  /// Applies a change; true when the record differs afterwards.
+  /// Applies a change and returns whether the record differs afterwards.
   pub fn apply(&mut self, change: &Change) -> Result<bool, Rejection> {
     match change {
       Change::Add { replica, limit } => self.add(replica, *limit),
       Change::Retire { id, gaps } => Ok(self.retire(*id, gaps)),
       Change::Drop { id } => {
-        let before = self.replicas.len();
+        let count_before = self.replicas.len();
         self.replicas.retain(|replica| replica.id != *id);
-        Ok(self.replicas.len() != before)
+        Ok(self.replicas.len() != count_before)
       }
     }
   }
 
   fn add(&mut self, replica: &Replica, limit: u32) -> Result<bool, Rejection> {
     match self.find(replica.id) {
-      Some(found) if found.target == Target::Loaded => return Ok(false),
+      Some(existing) if existing.target == Target::Loaded => return Ok(false),
       Some(_) => return Err(Rejection::Withdrawn),
       None => {}
     }
-    let same = |held: &&Replica| held.policy == replica.policy;
-    if self.replicas.iter().filter(same).count() >= limit as usize {
+    let same_policy = |other: &&Replica| other.policy == replica.policy;
+    if self.replicas.iter().filter(same_policy).count() >= limit as usize {
       return Err(Rejection::Limit);
     }
     self.replicas.push(replica.clone());
--- a/src/reduce.rs
+++ b/src/reduce.rs
@@ -1,7 +1,7 @@
-//! The reducer: one event in, new state and effects out.
+//! The reducer: applies one event to the state and returns the resulting effects.
 //!
-//! Time, randomness and the outcomes of effects all come in as events, so the
-//! same events in the same order give the same effects.
+//! Time, randomness and the outcomes of effects are inputs, so the same events in the
+//! same order produce the same effects.
 
 use crate::{
   effect::Effect,
@@ -12,33 +12,33 @@
   update::Outcome,
 };
 
-/// Pause between two rounds of housekeeping, ms.
-const CHORES_MS: u64 = 50;
+/// Interval between housekeeping passes.
+const HOUSEKEEPING_INTERVAL_MS: u64 = 50;
 
-/// Pause between two rounds through all owned models, ms.
-const ROUNDS_MS: u64 = 250;
+/// Interval between recovery passes over all owned models.
+const RECOVERY_INTERVAL_MS: u64 = 250;
 
-/// Takes up an event that happened at `at` (ms) and says what to do.
+/// Applies an event that happened at time `at` in ms and returns the effects to execute.
 pub fn reduce(state: &mut State, at: u64, event: Event) -> Vec<Effect> {
   state.now = state.now.max(at);
-  take_up(state, event);
+  apply_event(state, event);
   state.run_jobs();
   state.flush_due_claims();
   state.gossip();
   if state.next_housekeeping_at <= state.now {
-    state.next_housekeeping_at = state.now + CHORES_MS;
-    chores(state);
+    state.next_housekeeping_at = state.now + HOUSEKEEPING_INTERVAL_MS;
+    run_housekeeping(state);
   }
   std::mem::take(&mut state.out)
 }
 
-fn take_up(state: &mut State, event: Event) {
+fn apply_event(state: &mut State, event: Event) {
   match event {
     Event::Tick => {}
-    Event::RequestArrived(ask) => {
-      let ticket = ask.ticket;
-      state.on_asked(ask);
-      report_demand(state, ticket);
+    Event::RequestArrived(descriptor) => {
+      let ticket = descriptor.ticket;
+      state.on_request_arrived(descriptor);
+      report_new_demand(state, ticket);
     }
     Event::CallerLeft { ticket } => state.on_caller_left(ticket),
     Event::AttemptEnded {
@@ -46,19 +46,15 @@
       number,
       end,
       answer,
-    } => state.on_ended(ticket, number, end, answer),
+    } => state.on_attempt_ended(ticket, number, end, answer),
     Event::BatchRequested { ticket, id, change } => state.on_batch_asked(ticket, id, change),
-    Event::ItemEnded {
-      id,
-      index: at,
-      item,
-    } => state.on_item_ended(&id, at, item),
+    Event::ItemEnded { id, index, item } => state.on_item_ended(&id, index, item),
     Event::Updated { tag, name, outcome } => on_updated(state, tag, &name, outcome),
     Event::OrderEnded {
       replica,
       step,
       outcome,
-    } => state.on_ordered(replica, step, outcome),
+    } => state.on_order_ended(replica, step, outcome),
     Event::Reported(status) => state.on_reported(status),
     Event::Watched(objects) => state.on_watched(objects),
     Event::BatchesListed(listed) => state.on_batches_listed(listed),
@@ -80,12 +76,12 @@
   }
 }
 
-/// Demand for a model that has just begun is reported at once.
-fn report_demand(state: &mut State, ticket: crate::ask::Ticket) {
+/// Reports new demand for a model without delay.
+fn report_new_demand(state: &mut State, ticket: crate::ask::Ticket) {
   let request = state.requests.get(&ticket);
   if let Some(key) = request.and_then(|request| request.group) {
     state.report_demand(key);
-    state.decide_own(key);
+    state.decide_if_owned(key);
   }
 }
 
@@ -111,7 +107,7 @@
   state.announce(incarnation + 1);
 }
 
-fn chores(state: &mut State) {
+fn run_housekeeping(state: &mut State) {
   state.note_updates();
   state.choose_watchers();
   state.refresh_owned();
@@ -120,7 +116,7 @@
   state.tend_claims();
   state.tend_batches();
   if state.next_recovery_at <= state.now {
-    state.next_recovery_at = state.now + ROUNDS_MS;
+    state.next_recovery_at = state.now + RECOVERY_INTERVAL_MS;
     state.audit();
     state.recover_all();
   }
@@ -129,11 +125,11 @@
     state.expire(key);
     state.dispatch_queued(key);
     state.report_demand(key);
-    state.decide_own(key);
+    state.decide_if_owned(key);
     state.share(key);
     state.count_idle(key);
-    state.let_go(key);
-    state.rest(key);
+    state.retire_unneeded(key);
+    state.deactivate_if_unused(key);
   }
   if state.stopping && !state.stopped && state.drained() {
     state.stopped = true;
@@ -142,30 +138,30 @@
 }
 
 impl State {
-  /// Decides for a group whose model this instance owns.
-  pub fn decide_own(&mut self, key: crate::group::Key) {
+  /// Decides whether a group needs another replica if this instance owns its model.
+  pub fn decide_if_owned(&mut self, key: crate::group::Key) {
     let model = &self.groups[key].model;
     if self.owned.contains_key(model) {
       self.decide(key);
     }
   }
 
-  /// Takes a group out of housekeeping when nothing of it is left.
-  fn rest(&mut self, key: crate::group::Key) {
+  /// Removes a group from housekeeping if it has no requests, demand or replicas.
+  fn deactivate_if_unused(&mut self, key: crate::group::Key) {
     let group = &self.groups[key];
     let reported = group.reported.waiting + group.reported.running + group.unreported_arrivals > 0;
     let busy = !group.queue.is_empty() || group.running > 0 || reported;
     let policy = &group.policy;
     let owned = self.owned.contains_key(&group.model);
     let mut replicas = self.placement(&group.model).iter();
-    let held = owned && replicas.any(|replica| replica.policy == *policy);
-    let standing = owned && self.policy(policy).min_replicas > 0;
-    if !busy && !held && !standing && !group.in_use(self.now) {
+    let has_replicas = owned && replicas.any(|replica| replica.policy == *policy);
+    let kept_loaded = owned && self.policy(policy).min_replicas > 0;
+    if !busy && !has_replicas && !kept_loaded && !group.in_use(self.now) {
       self.active.remove(&key);
     }
   }
 
-  /// Whether a planned stop has nothing left to wait for.
+  /// Whether a planned stop has no work left to wait for.
   fn drained(&self) -> bool {
     self.requests.is_empty()
       && self.claims.idle()
--- a/src/replica.rs
+++ b/src/replica.rs
@@ -1,8 +1,8 @@
-//! One copy of a model, decided for one backend server.
+//! Replicas: copies of a model, each decided for one backend server.
 
 use serde::{Deserialize, Serialize};
 
-/// Identifies a replica for all time.
+/// Identifies a replica; ids are never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Id(pub u64);
 
@@ -12,7 +12,7 @@
   }
 }
 
-/// What was decided for a replica.
+/// Desired state of a replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Target {
@@ -20,13 +20,13 @@
   Gone,
 }
 
-/// A decided replica.
+/// A replica as decided in a model record.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Replica {
   pub id: Id,
   /// Name of the backend server.
   pub server: String,
   pub target: Target,
-  /// Policy that decided it.
+  /// Policy under which the replica was decided.
   pub policy: String,
 }
--- a/src/server.rs
+++ b/src/server.rs
@@ -1,4 +1,4 @@
-//! A backend server, as one instance knows it.
+//! State of a backend server as known to one instance.
 
 use crate::{
   fact::short,
@@ -16,53 +16,54 @@
 #[derive(Clone, Debug, Default)]
 pub struct Server {
   pub name: String,
-  /// Replicas on the engine.
+  /// Stages of the replicas on the engine.
   pub residents: BTreeMap<Id, Stage>,
-  /// Tiers of checkpoints cached near it, by short hash of the model.
+  /// Tiers of the checkpoints cached near the server, by short hash of the model name.
   pub cached: HashMap<u32, Tier>,
-  /// Replicas decided for it, with their models.
+  /// Models of the replicas decided for the server.
   pub decided: BTreeMap<Id, String>,
-  /// Requests of this instance, by replica.
+  /// Number of requests of this instance, by replica.
   pub own_requests: HashMap<Id, u32>,
-  /// Requests of others, by replica, as last reported.
+  /// Last reported number of requests of other instances, by replica.
   pub peer_requests: HashMap<Id, u32>,
-  /// Nothing is sent before this time, ms: a recent failure.
+  /// Time in ms before which nothing is sent because of a recent failure.
   pub avoid_until: u64,
-  /// No replica is placed here before this time, ms: memory was short.
+  /// Time in ms before which no replica is placed here because memory was short.
   pub full_until: u64,
-  /// The engine says that it is leaving.
+  /// Whether the engine reports that it is leaving.
   pub leaving: bool,
-  /// When this instance last asked for a status, ms.
+  /// Time in ms of this instance's last status poll.
   pub polled_at: u64,
-  /// Time of the next read of the server record, ms.
+  /// Time in ms of the next read of the server record.
   pub inspect_at: u64,
-  /// Status questions without answer in a row.
+  /// Consecutive status polls without a response.
   pub unanswered_polls: u32,
 }
 
 impl Server {
-  /// Estimated requests at a replica: own ones exactly, others as reported.
+  /// Estimated number of requests at a replica: exact for this instance, as last reported
+  /// for other instances.
   pub fn load(&self, replica: Id) -> u32 {
-    let mine = self.own_requests.get(&replica).copied().unwrap_or_default();
-    let others = self
+    let own = self.own_requests.get(&replica).copied().unwrap_or_default();
+    let peers = self
       .peer_requests
       .get(&replica)
       .copied()
       .unwrap_or_default();
-    mine + others
+    own + peers
   }
 
-  /// Requests of this instance at a replica.
+  /// Number of requests of this instance at a replica.
   pub fn own_load(&self, replica: Id) -> u32 {
     self.own_requests.get(&replica).copied().unwrap_or_default()
   }
 
-  /// Whether the replica takes requests.
+  /// Whether the replica is ready for requests.
   pub fn ready(&self, replica: Id) -> bool {
     self.residents.get(&replica) == Some(&Stage::Ready)
   }
 
-  /// Tier of the model's checkpoint.
+  /// Tier of the model's checkpoint; remote if none is cached.
   pub fn tier(&self, model: &str) -> Tier {
     self
       .cached
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,4 +1,4 @@
-//! All state of one instance, and the parts that every module shares.
+//! State of one instance, and helpers that several modules use.
 
 use crate::{
   ask::{Ask, Ticket},
@@ -24,53 +24,55 @@
 use slotmap::SlotMap;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// Who this instance is.
+/// Identity and addresses of this instance.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Identity {
   pub instance: String,
   pub zone: String,
-  /// Peer address, `ip:port`.
+  /// Address for peers, as `ip:port`.
   pub peers: String,
-  /// Operators' address, `ip:port`.
+  /// Address for operators, as `ip:port`.
   pub operators: String,
-  /// Start time of the process, ms.
+  /// Start time of the process in ms.
   pub boot: u64,
-  /// Peer addresses known from settings.
+  /// Peer addresses from the settings.
   pub seeds: Vec<String>,
 }
 
-/// A request between arrival and its final answer.
+/// A request that has arrived and has no final response yet.
 #[derive(Clone, Debug)]
 pub struct Request {
   pub descriptor: Ask,
-  /// The group of a model's request.
+  /// Group of a model request; `None` for a service call.
   pub group: Option<group::Key>,
-  /// Attempts so far.
+  /// Number of attempts started.
   pub attempts: u32,
-  /// Where the current attempt runs.
+  /// Server and replica of the current attempt; `None` if no attempt runs on a replica.
   pub running_on: Option<(server::Key, Id)>,
-  /// Address of the current attempt at a plain service.
+  /// Address of the latest attempt at a plain service.
   pub address: Option<String>,
-  /// What the attempts so far amount to.
+  /// Combined verdict of the failed attempts.
   pub verdict: Verdict,
+  /// Time of arrival in ms.
   pub arrived: u64,
+  /// Time in ms at which the latest attempt was sent.
   pub sent: u64,
-  /// It waited for a load.
+  /// Whether no replica was ready on arrival, so that the request waits for a load.
   pub cold: bool,
 }
 
-/// A model whose decisions this instance usually takes.
+/// State of a model for which this instance normally decides.
 #[derive(Clone, Debug, Default)]
 pub struct Owned {
-  /// The record was read since this instance owns the model.
+  /// Whether the record was read since this instance became the owner.
   pub record_read: bool,
-  /// Inter-arrival history stored in the record.
+  /// Inter-arrival history from the record.
   pub gaps: Vec<u32>,
-  /// Replicas decided but not loaded, with the time this was first noticed, ms.
+  /// Replicas that are decided but not loaded, with the time in ms at which this was detected.
   pub missing: BTreeMap<Id, u64>,
-  /// Time of the next read of the record, ms.
+  /// Time in ms of the next read of the record.
   pub audit_at: u64,
-  /// A read is on its way since this time, ms.
+  /// Time in ms at which the pending read started; `None` if no read is pending.
   pub read_started_at: Option<u64>,
 }
 
@@ -81,54 +83,54 @@
   pub now: u64,
   pub rng: SmallRng,
   pub catalog: Catalog,
-  /// Some configuration is known.
+  /// Whether any configuration is known.
   pub configured: bool,
-  /// Objects that came into force and are not yet recorded, and the newest
-  /// version among them.
+  /// Number of applied objects that have no timeline entry yet, and the newest version
+  /// among them.
   pub updates: (usize, u64),
   pub facts: Table,
   pub members: Members,
   pub gossip: Gossip,
   pub groups: SlotMap<group::Key, Group>,
   pub group_keys: HashMap<(String, String), group::Key>,
-  /// Groups with something waiting, running or loaded.
+  /// Groups with waiting requests, running requests or loaded replicas.
   pub active: BTreeSet<group::Key>,
   pub servers: SlotMap<server::Key, Server>,
   pub server_keys: HashMap<String, server::Key>,
   pub requests: HashMap<Ticket, Request>,
   pub jobs: BTreeMap<Id, Job>,
   pub owned: BTreeMap<String, Owned>,
-  /// Servers this instance looks after.
+  /// Servers that this instance polls and inspects.
   pub owned_servers: Vec<String>,
-  /// Where each model's replicas are decided.
+  /// Server and id of each decided replica, by model.
   pub placed: HashMap<String, Vec<(server::Key, Id)>>,
-  /// Epoch and configuration for which the watchers were chosen.
+  /// Membership epoch and value of `configured` at the last choice of watchers.
   pub watchers_chosen_for: Option<(u64, bool)>,
-  /// Membership epoch for which `owned` was worked out.
+  /// Membership epoch for which `owned` was computed, plus 1.
   pub owned_epoch: u64,
   pub claims: Claims,
   pub batches: Batches,
-  /// Load time in microseconds for each MB, by tier: memory, disk, remote.
-  pub load_rates: [u64; 3],
-  /// Retries allowed, in hundredths.
+  /// Load time in microseconds per MB for the tiers memory, disk and remote.
+  pub load_us_per_mb: [u64; 3],
+  /// Remaining retry budget in hundredths of a retry.
   pub retry_budget: u32,
   pub stopping: bool,
   pub stopped: bool,
   pub watching: bool,
-  /// Next housekeeping, ms.
+  /// Time in ms of the next housekeeping pass.
   pub next_housekeeping_at: u64,
-  /// Next round through all owned models, ms.
+  /// Time in ms of the next recovery pass over all owned models.
   pub next_recovery_at: u64,
   pub out: Vec<Effect>,
 }
 
-/// Load time assumed before the first load was seen, microseconds for each MB.
-const LOAD_RATES: [u64; 3] = [100, 500, 4_000];
-/// Retries allowed at the start, in hundredths.
-const RETRY_START: u32 = 1_000;
+/// Load time in microseconds per MB, by tier, that is assumed until a load is measured.
+const INITIAL_LOAD_US_PER_MB: [u64; 3] = [100, 500, 4_000];
+/// Retry budget at start in hundredths of a retry.
+const INITIAL_RETRY_BUDGET: u32 = 1_000;
 
 impl State {
-  /// State of an instance that knows nobody yet.
+  /// Creates the state of an instance that knows no other instance.
   pub fn new(me: Identity, limits: Limits, seed: u64, now: u64) -> Self {
     let mut state = Self {
       me,
@@ -155,8 +157,8 @@
       owned_epoch: 0,
       claims: Claims::default(),
       batches: Batches::default(),
-      load_rates: LOAD_RATES,
-      retry_budget: RETRY_START,
+      load_us_per_mb: INITIAL_LOAD_US_PER_MB,
+      retry_budget: INITIAL_RETRY_BUDGET,
       stopping: false,
       stopped: false,
       watching: false,
@@ -168,12 +170,12 @@
     state
   }
 
-  /// The process, as server records name it.
+  /// Name of this process in server records, as `instance/boot`.
   pub fn orderer(&self) -> String {
     format!("{}/{}", self.me.instance, self.me.boot)
   }
 
-  /// Announces this instance; a higher incarnation overrides suspicion.
+  /// Publishes this instance as a member; a higher incarnation overrides suspicion.
   pub fn announce(&mut self, incarnation: u64) {
     let member = Member {
       address: self.me.peers.clone(),
@@ -188,38 +190,38 @@
     self.publish(key, version, Body::Member(member));
   }
 
-  /// Takes up a fact of this instance's own making.
+  /// Adds a fact that this instance produced.
   pub fn publish(&mut self, key: Key, version: Version, body: Body) {
     self.take(Fact { key, version, body }, "");
   }
 
-  /// Asks for `effect`.
+  /// Queues `effect` for execution.
   pub fn emit(&mut self, effect: Effect) {
     self.out.push(effect);
   }
 
-  /// Records a change of state.
+  /// Queues a timeline entry for a change of state.
   pub fn log(&mut self, entry: Entry) {
     self.out.push(Effect::Log(entry));
   }
 
-  /// A random number below `below`.
-  pub fn random(&mut self, below: u64) -> u64 {
-    self.rng.random_range(0..below.max(1))
+  /// Returns a random number below `limit`, or 0 if `limit` is 0.
+  pub fn random(&mut self, limit: u64) -> u64 {
+    self.rng.random_range(0..limit.max(1))
   }
 
-  /// `base` doubled for each failure up to `most`, with half of it random.
-  pub fn backoff(&mut self, base: u64, failures: u32, most: u64) -> u64 {
-    let full = (base << failures.min(10)).min(most);
-    full / 2 + self.random(full / 2 + 1)
+  /// Exponential backoff: `base` doubled for each failure up to `max`, of which half is random.
+  pub fn backoff(&mut self, base: u64, failures: u32, max: u64) -> u64 {
+    let delay = (base << failures.min(10)).min(max);
+    delay / 2 + self.random(delay / 2 + 1)
   }
 
-  /// Whether this instance usually acts for `key`.
+  /// Whether this instance is the owner of `key`.
   pub fn owns(&self, key: &str) -> bool {
     self.members.owner(key) == Some(self.me.instance.as_str())
   }
 
-  /// Peer address of an instance.
+  /// Peer address of an instance; `None` if the instance is unknown.
   pub fn peer_address(&self, instance: &str) -> Option<String> {
     match self.facts.get(&Key::Member(instance.into())) {
       Some((Body::Member(member), _)) => Some(member.address.clone()),
@@ -227,8 +229,8 @@
     }
   }
 
-  /// State of a machine in the platform's list; a machine never listed counts as
-  /// live.
+  /// State of a machine in the platform's list; a machine that was never listed counts
+  /// as live.
   pub fn listed(&self, machine: &str) -> Listed {
     match self.facts.get(&Key::Listing(machine.into())) {
       Some((Body::Listing(listed), _)) => *listed,
@@ -236,21 +238,21 @@
     }
   }
 
-  /// Whether a process, named `instance/boot`, is known to have ended: its
-  /// machine is gone, or a later process runs there.
+  /// Whether the process `instance/boot` is known to have ended because its machine is
+  /// gone or a later process runs there.
   pub fn process_ended(&self, orderer: &str) -> bool {
     let Some((instance, boot)) = orderer.rsplit_once('/') else {
       return false;
     };
     let boot: u64 = boot.parse().unwrap_or(u64::MAX);
-    let later = match self.facts.get(&Key::Member(instance.into())) {
+    let replaced = match self.facts.get(&Key::Member(instance.into())) {
       Some((Body::Member(member), _)) => member.boot > boot,
       _ => false,
     };
-    later || self.listed(instance) == Listed::Gone
+    replaced || self.listed(instance) == Listed::Gone
   }
 
-  /// The server's key, made when first needed.
+  /// Returns the key of a server and adds the server if it is new.
   pub fn server(&mut self, name: &str) -> server::Key {
     if let Some(key) = self.server_keys.get(name) {
       return *key;
@@ -264,7 +266,7 @@
     key
   }
 
-  /// The group's key, made when first needed.
+  /// Returns the key of a group and adds the group if it is new.
   pub fn group(&mut self, model: &str, policy: &str) -> group::Key {
     let name = (model.to_string(), policy.to_string());
     if let Some(key) = self.group_keys.get(&name) {
@@ -283,18 +285,18 @@
     key
   }
 
-  /// The policy of this name, or the built-in one.
+  /// The policy of this name, or the built-in policy if there is none.
   pub fn policy(&self, name: &str) -> Policy {
     self.catalog.policies.get(name).cloned().unwrap_or_default()
   }
 
-  /// Name of the policy that rules a model for a caller.
+  /// Name of the policy that applies to a model for a caller.
   pub fn effective_policy(&self, model: &Model, caller: u64) -> String {
-    let found = self.catalog.policy(model, caller);
-    found.map_or(DEFAULT_POLICY, |(name, _)| name).to_string()
+    let policy = self.catalog.policy(model, caller);
+    policy.map_or(DEFAULT_POLICY, |(name, _)| name).to_string()
   }
 
-  /// Whether a server takes new replicas and requests.
+  /// Whether a server accepts new replicas and requests.
   pub fn is_usable(&self, name: &str) -> bool {
     let leaving = self
       .server_keys
@@ -311,12 +313,12 @@
     }
   }
 
-  /// Configuration of a server.
+  /// Configuration of a server; `None` if it is not configured.
   pub fn spec(&self, server: &str) -> Option<&Spec> {
     self.catalog.servers.get(server)
   }
 
-  /// Keeps a group in housekeeping.
+  /// Includes a group in housekeeping.
   pub fn mark_active(&mut self, key: group::Key) {
     self.active.insert(key);
   }
