--- a/src/effect.rs
+++ b/src/effect.rs
@@ -81,7 +81,7 @@
   /// Start or stop watching the platform's configuration and instance list.
   Watch(bool),
   /// Limit the platform calls to this many per second.
-  Rate(u32),
+  LimitPlatformRate(u32),
   /// Add a change of state to the timeline.
   Log(Entry),
   /// A planned stop has no work left, so the process may exit.
--- a/src/event.rs
+++ b/src/event.rs
@@ -102,11 +102,11 @@
   /// A status poll of an engine ended, with or without a response.
   Reported(order::Status),
   /// Configuration objects were read from the platform.
-  Watched(Vec<Object>),
+  ConfigurationRead(Vec<Object>),
   /// Unfinished batches were listed.
   BatchesListed(Vec<(String, u64)>),
   /// The platform's list of instances was read.
-  Listed {
+  InstancesListed {
     revision: u64,
     entries: Vec<Listing>,
   },
--- a/src/gossip.rs
+++ b/src/gossip.rs
@@ -110,7 +110,7 @@
     }
     if self.members.neighbours.is_empty() {
       for seed in self.me.seeds.clone() {
-        if seed != self.me.peers {
+        if seed != self.me.peer_address {
           self.exchange(&seed.clone(), &seed);
         }
       }
--- a/src/instance.rs
+++ b/src/instance.rs
@@ -120,8 +120,8 @@
   Identity {
     instance: settings.instance.clone(),
     zone: settings.zone.clone(),
-    peers: peers.to_string(),
-    operators: operators.to_string(),
+    peer_address: peers.to_string(),
+    operator_address: operators.to_string(),
     boot: shared.boot,
     seeds: settings.seeds.clone(),
   }
@@ -230,7 +230,7 @@
       } => self.port.claim(&address, shard, group, &changes),
       Effect::ClaimAnswer { call, outcomes } => self.port.answer_claims(call, outcomes),
       Effect::Watch(on) => shared.watching.store(on, Ordering::Relaxed),
-      Effect::Rate(rate) => shared.platform.set_rate(rate),
+      Effect::LimitPlatformRate(rate) => shared.platform.set_rate(rate),
       Effect::Log(entry) => shared.note(entry),
       Effect::Stopped => {}
     }
--- a/src/learn.rs
+++ b/src/learn.rs
@@ -207,7 +207,7 @@
   fn share_budget(&mut self) {
     let live = self.members.live.len().max(1) as u32;
     let rate = (self.limits.platform_budget / live).clamp(1, self.limits.platform_rate);
-    self.emit(Effect::Rate(rate));
+    self.emit(Effect::LimitPlatformRate(rate));
   }
 
   fn zone_members(&self) -> Vec<String> {
--- a/src/state.rs
+++ b/src/state.rs
@@ -30,9 +30,9 @@
   pub instance: String,
   pub zone: String,
   /// Address for peers, as `ip:port`.
-  pub peers: String,
+  pub peer_address: String,
   /// Address for operators, as `ip:port`.
-  pub operators: String,
+  pub operator_address: String,
   /// Start time of the process in ms.
   pub boot: u64,
   /// Peer addresses from the settings.
@@ -178,8 +178,8 @@
   /// Publishes this instance as a member; a higher incarnation overrides suspicion.
   pub fn announce(&mut self, incarnation: u64) {
     let member = Member {
-      address: self.me.peers.clone(),
-      operators: self.me.operators.clone(),
+      address: self.me.peer_address.clone(),
+      operators: self.me.operator_address.clone(),
       zone: self.me.zone.clone(),
       boot: self.me.boot,
       leaving: self.stopping,
--- a/src/watchers.rs
+++ b/src/watchers.rs
@@ -51,7 +51,7 @@
     match answer {
       Ok((revision, objects)) => {
         after = after.max(revision);
-        shared.notify(Event::Watched(objects));
+        shared.notify(Event::ConfigurationRead(objects));
       }
       Err(_) => pause(WATCH_PAUSE * 2),
     }
@@ -66,7 +66,7 @@
     count_calls(shared, &mut counted);
     if shared.watching.load(Ordering::Relaxed) {
       if let Ok((revision, entries)) = shared.platform.list() {
-        shared.notify(Event::Listed { revision, entries });
+        shared.notify(Event::InstancesListed { revision, entries });
       }
       if round % BATCH_LIST_EVERY == 0
         && let Ok(names) = shared.platform.names(Kind::Batch)
--- a/tests/batch.rs
+++ b/tests/batch.rs
@@ -183,8 +183,8 @@
   let me = Identity {
     instance: "entry-0".into(),
     zone: "zone".into(),
-    peers: "10.0.0.1:1".into(),
-    operators: "10.0.0.1:2".into(),
+    peer_address: "10.0.0.1:1".into(),
+    operator_address: "10.0.0.1:2".into(),
     boot: 1,
     seeds: Vec::new(),
   };
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -21,8 +21,8 @@
   let me = Identity {
     instance: "entry-0".into(),
     zone: "zone".into(),
-    peers: "10.0.0.1:1".into(),
-    operators: "10.0.0.1:2".into(),
+    peer_address: "10.0.0.1:1".into(),
+    operator_address: "10.0.0.1:2".into(),
     boot: START,
     seeds: Vec::new(),
   };
@@ -39,7 +39,7 @@
   };
   let model = object(Kind::Model, "contracts", 9, json!({ "memoryMb": 60 }));
   let objects = vec![server(1), server(2), model];
-  let effects = reduce(&mut state, START, Event::Watched(objects));
+  let effects = reduce(&mut state, START, Event::ConfigurationRead(objects));
   (state, effects)
 }
 
--- a/tests/fuzz.rs
+++ b/tests/fuzz.rs
@@ -72,8 +72,8 @@
   let me = Identity {
     instance: "entry-0".into(),
     zone: "zone".into(),
-    peers: "10.0.0.1:1".into(),
-    operators: "10.0.0.1:2".into(),
+    peer_address: "10.0.0.1:1".into(),
+    operator_address: "10.0.0.1:2".into(),
     boot: 1,
     seeds: Vec::new(),
   };
@@ -186,7 +186,7 @@
       version,
       value: Some(text.0),
     };
-    reduce(&mut state, 10, Event::Watched(vec![object]));
+    reduce(&mut state, 10, Event::ConfigurationRead(vec![object]));
     let taken = state.facts.version(&Key::Object(name.clone())).0 == version;
     let rejected = state.facts.version(&Key::Rejected(name)).0 == version;
     taken != rejected
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -135,8 +135,8 @@
   Identity {
     instance: format!("entry-{at}"),
     zone: "zone".into(),
-    peers: format!("10.0.0.{at}:1"),
-    operators: format!("10.0.0.{at}:2"),
+    peer_address: format!("10.0.0.{at}:1"),
+    operator_address: format!("10.0.0.{at}:2"),
     boot,
     seeds: (0..INSTANCES).map(|at| format!("10.0.0.{at}:1")).collect(),
   }
@@ -219,7 +219,7 @@
         paused: false,
       });
       world.listed.insert(format!("entry-{at}"), Listed::Live);
-      world.give(at, Event::Watched(configuration(fenced)));
+      world.give(at, Event::ConfigurationRead(configuration(fenced)));
     }
     world
   }
@@ -342,7 +342,7 @@
       alive: true,
       paused: false,
     };
-    self.give(at, Event::Watched(configuration(self.fenced)));
+    self.give(at, Event::ConfigurationRead(configuration(self.fenced)));
   }
 
   fn restart_engine(&mut self, choice: usize) {
@@ -364,7 +364,7 @@
     let entries: Vec<_> = entries.collect();
     let revision = self.now;
     if !self.nodes[at].paused {
-      self.give(at, Event::Listed { revision, entries });
+      self.give(at, Event::InstancesListed { revision, entries });
     }
   }
 
@@ -504,7 +504,7 @@
   }
 
   fn node(&self, address: &str) -> usize {
-    let mine = |node: &Node| node.state.me.peers == address;
+    let mine = |node: &Node| node.state.me.peer_address == address;
     self.nodes.iter().position(mine).unwrap_or_default()
   }
 
