--- a/src/backend.rs
+++ b/src/backend.rs
@@ -89,7 +89,7 @@
 }
 
 /// A server's id, short enough to be sent often.
-pub fn short(id: &str) -> u32 {
+pub fn short_hash(id: &str) -> u32 {
   xxhash_rust::xxh3::xxh3_64(id.as_bytes()) as u32
 }
 
@@ -107,13 +107,13 @@
 pub struct Backend {
   pub spec: Spec,
   /// When the server's own statement was last heard, ms.
-  pub heard: u64,
+  pub spec_received_at: u64,
   pub holding: Option<Holding>,
   /// Requests of all instances there, as published.
   pub load: u32,
   /// This instance's requests there, now and when the others' were last published.
   pub running: u32,
-  pub running_then: u32,
+  pub running_at_publish: u32,
   /// Failures in a row.
   pub failures: u32,
   /// Gets nothing before this time, ms.
@@ -121,11 +121,11 @@
   /// Models it was found not to hold.
   pub missing: BTreeMap<String, Missing>,
   /// Its entry is missing since then, ms; it may come back.
-  pub lapsed: Option<u64>,
+  pub missing_since: Option<u64>,
   /// It said that it leaves.
   pub leaving: bool,
   /// Its entry may be that of an older copy of the store until then, ms.
-  pub unsure_until: u64,
+  pub unconfirmed_until: u64,
   /// Another server answered at its address. Not the stage that it stated: a holder that took
   /// its own finding for that would not publish the statement when it comes.
   pub replaced: bool,
@@ -134,20 +134,20 @@
 
 impl Backend {
   /// A server not used so far.
-  pub fn open(spec: Spec, now: u64) -> Self {
+  pub fn new(spec: Spec, now: u64) -> Self {
     Self {
       spec,
-      heard: now,
+      spec_received_at: now,
       holding: None,
       load: 0,
       running: 0,
-      running_then: 0,
+      running_at_publish: 0,
       failures: 0,
       avoid_until: 0,
       missing: BTreeMap::new(),
-      lapsed: None,
+      missing_since: None,
       leaving: false,
-      unsure_until: 0,
+      unconfirmed_until: 0,
       replaced: false,
       loading: None,
     }
@@ -178,7 +178,7 @@
   }
 
   /// A model was found not to be there; whether that is new.
-  pub fn miss(&mut self, name: String, now: u64) -> bool {
+  pub fn mark_missing(&mut self, name: String, now: u64) -> bool {
     let missing = self
       .missing
       .entry(name)
@@ -192,7 +192,10 @@
   /// planner's word counts before `until`, ms, and after it until the server says
   /// otherwise: without a planner nothing changes.
   pub fn holds(&self, model: &str, adapter: Option<&str>, until: u64, now: u64) -> bool {
-    let word = self.holding.as_ref().filter(|_| self.heard < until);
+    let word = self
+      .holding
+      .as_ref()
+      .filter(|_| self.spec_received_at < until);
     let models = word.map_or(&self.spec.models, |holding| &holding.models);
     let leaves = word.is_some_and(|holding| holding.leaving.iter().any(|name| name == model));
     let found = models.get(model).is_some_and(|adapters| match adapter {
@@ -214,20 +217,20 @@
 
   /// Requests of all instances there, as far as known: what was published, and since then
   /// what this instance added, as likely for each of the others.
-  pub fn estimate(&self, instances: usize) -> u32 {
-    let added = i64::from(self.running) - i64::from(self.running_then);
+  pub fn estimated_load(&self, instances: usize) -> u32 {
+    let added = i64::from(self.running) - i64::from(self.running_at_publish);
     let load = i64::from(self.load) + added * (instances as i64).min(1);
     u32::try_from(load).unwrap_or_default().max(self.running)
   }
 
   /// Whether it leaves, as its entry states, as it said or as was found.
-  pub fn leaves(&self) -> bool {
+  pub fn is_leaving(&self) -> bool {
     self.leaving || self.replaced || self.spec.stage == Stage::Draining
   }
 
   /// What it stated, but for its stage, which is as found.
-  pub fn found(&self) -> Spec {
-    let stage = match self.leaves() {
+  pub fn effective_spec(&self) -> Spec {
+    let stage = match self.is_leaving() {
       true => Stage::Draining,
       false => Stage::Ready,
     };
@@ -238,8 +241,8 @@
   }
 
   /// Whether new work may go there.
-  pub fn usable(&self, now: u64) -> bool {
-    !self.leaves() && now >= self.avoid_until && now >= self.unsure_until
+  pub fn is_usable(&self, now: u64) -> bool {
+    !self.is_leaving() && now >= self.avoid_until && now >= self.unconfirmed_until
   }
 }
 
@@ -253,5 +256,5 @@
 
 /// The group of servers, of so many, that a server belongs to.
 pub fn group(id: &str, groups: u32) -> u32 {
-  short(id) % groups.max(1)
+  short_hash(id) % groups.max(1)
 }
--- a/src/clock.rs
+++ b/src/clock.rs
@@ -71,7 +71,7 @@
 
 impl Suspension {
   /// Begins to watch.
-  pub fn watch() -> Self {
+  pub fn start() -> Self {
     Self {
       steady: Instant::now(),
       moment: Moment::now(),
@@ -80,7 +80,7 @@
 
   /// For how long the machine was suspended since this was last asked.
   pub fn take(&mut self) -> Option<Duration> {
-    let before = std::mem::replace(self, Self::watch());
+    let before = std::mem::replace(self, Self::start());
     let ran = self.steady - before.steady;
     let away = (self.moment - before.moment).saturating_sub(ran);
     (away > TOGETHER).then_some(away)
--- a/src/cold.rs
+++ b/src/cold.rs
@@ -54,7 +54,7 @@
 }
 
 /// Wants by pool and model.
-pub(crate) type Wants = BTreeMap<(String, Model), Want>;
+pub(crate) type Deferrals = BTreeMap<(String, Model), Want>;
 
 /// When a request that waits is given up, ms: before its caller leaves, who counts from the
 /// last event where some have come.
@@ -106,7 +106,7 @@
 
   fn working<'a>(&'a self, pool: &'a str) -> impl Iterator<Item = &'a Backend> {
     let backends = self.backends.values();
-    backends.filter(move |backend| backend.spec.pool == pool && !backend.leaves())
+    backends.filter(move |backend| backend.spec.pool == pool && !backend.is_leaving())
   }
 
   /// When a model can be used at one of some servers that do not hold it, as far as known, ms.
@@ -160,7 +160,7 @@
   }
 
   /// A caller goes with the promise that its model is being loaded.
-  pub(crate) fn want(&mut self, ask: &Ask, retry_after: u64) {
+  pub(crate) fn add_deferral(&mut self, ask: &Ask, retry_after: u64) {
     let Some(model) = ask.model.clone() else {
       return;
     };
--- a/src/content.rs
+++ b/src/content.rs
@@ -34,7 +34,7 @@
   }
 
   /// A number drawn from the key, another one for each turn.
-  pub fn draw(self, turn: u32) -> u64 {
+  pub fn seeded_hash(self, turn: u32) -> u64 {
     xxh3_64_with_seed(&self.0.to_le_bytes(), turn.into())
   }
 }
--- a/src/crash/door.rs
+++ b/src/crash/door.rs
@@ -32,13 +32,13 @@
 
 /// Whether a request may go to a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Pass {
-  Free,
+pub enum Admission {
+  Allowed,
   /// To the server that its content and this count of crashes name.
-  Apart(u32),
+  Isolated(u32),
   /// Not before this time, ms.
-  Wait(u64),
-  Never,
+  Delayed(u64),
+  Denied,
 }
 
 #[derive(Clone, Debug, Default)]
@@ -64,7 +64,7 @@
 
 /// What one instance knows of requests that end servers.
 #[derive(Clone, Debug, Default)]
-pub struct Door {
+pub struct Filter {
   /// Runs that ended with their servers and are not reported yet.
   crashes: Vec<Crash>,
   /// Until when contents go to no server, ms.
@@ -72,16 +72,16 @@
   suspects: HashMap<content::Key, Suspect>,
 }
 
-impl Door {
+impl Filter {
   /// Whether a request of this content may go to a server.
-  pub fn pass(&self, now: u64, content: content::Key) -> Pass {
+  pub fn admission(&self, now: u64, content: content::Key) -> Admission {
     if self.is_quarantined(now, content) {
-      return Pass::Never;
+      return Admission::Denied;
     }
     match self.suspects.get(&content) {
-      Some(suspect) if now < suspect.wait_until => Pass::Wait(suspect.wait_until),
-      Some(suspect) => Pass::Apart(suspect.crashes),
-      None => Pass::Free,
+      Some(suspect) if now < suspect.wait_until => Admission::Delayed(suspect.wait_until),
+      Some(suspect) => Admission::Isolated(suspect.crashes),
+      None => Admission::Allowed,
     }
   }
 
@@ -92,7 +92,7 @@
   }
 
   /// A run has ended with its server.
-  pub fn crashed(&mut self, now: u64, crash: Crash) {
+  pub fn record_crash(&mut self, now: u64, crash: Crash) {
     self.crashes.push(crash);
     self.forget(now);
     let suspect = self.suspects.entry(crash.content).or_default();
@@ -118,14 +118,14 @@
   }
 
   /// A request was served: its content ends no servers.
-  pub fn served(&mut self, content: content::Key) {
+  pub fn record_served(&mut self, content: content::Key) {
     if !self.suspects.is_empty() {
       self.suspects.remove(&content);
     }
   }
 
   /// Takes up who may be to blame, with turns.
-  pub fn suspect(&mut self, now: u64, entries: &[Suspected]) {
+  pub fn update_suspects(&mut self, now: u64, entries: &[Suspected]) {
     self.forget(now);
     for entry in entries {
       let suspect = self.suspects.entry(entry.content).or_default();
@@ -149,7 +149,7 @@
 
   /// Takes up who goes to no server, or is released. The crashes are explained: nobody else
   /// is suspected for them.
-  pub fn quarantine(&mut self, now: u64, entries: &[Quarantined]) {
+  pub fn update_quarantine(&mut self, now: u64, entries: &[Quarantined]) {
     self.quarantined.retain(|_, until| now < *until);
     for entry in entries {
       match entry.left_ms {
--- a/src/crash/leave.rs
+++ b/src/crash/leave.rs
@@ -48,42 +48,47 @@
 const PLACES: u32 = 0;
 
 /// The allowance of an id, where it names a leave.
-pub fn allow(id: Id) -> Option<Allowance> {
+pub fn allowance(id: Id) -> Option<Allowance> {
   id.is_leave().then_some(LEAVE)
 }
 
 /// Whether a copy may go now.
-pub(crate) enum Turn {
-  Now,
+pub(crate) enum Permit {
+  Granted,
   /// The leave is asked for; it is looked at again at this time, ms.
-  Asked(u64),
+  Requested(u64),
   /// Another one has the leave.
   Taken,
 }
 
 impl State {
   /// Takes the leave of a suspect for one of its copies.
-  pub(crate) fn turn(&mut self, ticket: Ticket, crashes: u32) -> Turn {
+  pub(crate) fn acquire_permit(&mut self, ticket: Ticket, crashes: u32) -> Permit {
     let request = self.requests.get(&ticket);
     let id = request.map(|request| id(request.ask.content, crashes));
     self.take_leave(ticket, id.filter(|_| crashes as usize >= SUSPICIOUS))
   }
 
   /// Takes the place of suspects at a server for a copy of one.
-  pub(crate) fn turn_at(&mut self, ticket: Ticket, server: Life, crashes: u32) -> Turn {
+  pub(crate) fn acquire_server_permit(
+    &mut self,
+    ticket: Ticket,
+    server: Life,
+    crashes: u32,
+  ) -> Permit {
     // Without a holder a leave is had by chance, and two of them hardly ever.
     let wanted = crashes as usize >= SUSPICIOUS && self.purse.answers(self.now);
     self.take_leave(ticket, wanted.then(|| place(server)))
   }
 
   /// Takes a leave, where one is wanted and the copy does not have it.
-  fn take_leave(&mut self, ticket: Ticket, id: Option<Id>) -> Turn {
+  fn take_leave(&mut self, ticket: Ticket, id: Option<Id>) -> Permit {
     let now = self.now;
     let (Some(id), Some(request)) = (id, self.requests.get_mut(&ticket)) else {
-      return Turn::Now;
+      return Permit::Granted;
     };
     if request.leaves.contains(&id) {
-      return Turn::Now;
+      return Permit::Granted;
     }
     let asked = request.wants.filter(|(wanted, _)| *wanted == id);
     let asked = asked.map(|(_, since)| since);
@@ -94,24 +99,24 @@
       Spending::Spent => {
         request.leaves.push(id);
         request.wants = None;
-        Turn::Now
+        Permit::Granted
       }
       Spending::Ask(until) => {
         if asked.is_none() {
           request.wants = Some((id, now));
           self.out.push(Effect::Need);
         }
-        Turn::Asked(until)
+        Permit::Requested(until)
       }
       Spending::Over(_) => {
         request.wants = None;
-        Turn::Taken
+        Permit::Taken
       }
     }
   }
 
   /// Gives the leaves of a copy back whose run has ended, or that goes nowhere; `end` of the run.
-  pub(crate) fn leave_ended(&mut self, ticket: Ticket, end: Option<End>) {
+  pub(crate) fn release_permits(&mut self, ticket: Ticket, end: Option<End>) {
     let request = self.requests.get_mut(&ticket);
     let leaves = request.map(|request| std::mem::take(&mut request.leaves));
     let leaves = leaves.unwrap_or_default();
--- a/src/crash/mod.rs
+++ b/src/crash/mod.rs
@@ -10,10 +10,10 @@
 mod repeated;
 pub mod stored;
 
-pub use door::{Door, Pass};
-pub(crate) use leave::Turn;
+pub use door::{Admission, Filter};
+pub(crate) use leave::Permit;
 pub(crate) use registry::SUSPICIOUS;
-pub use registry::{Registry, Sentence};
+pub use registry::{Culprit, Registry};
 pub use repeated::Repeated;
 
 use crate::{content, life::Life};
--- a/src/crash/registry.rs
+++ b/src/crash/registry.rs
@@ -92,7 +92,7 @@
 
 /// A content found to blame, or released.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Sentence {
+pub struct Culprit {
   pub content: content::Key,
   /// Crashes that nothing else explains, and its runs there.
   pub crashes: usize,
@@ -102,7 +102,7 @@
 /// Contents that explain the crashes.
 #[derive(Debug, Default)]
 struct Cover {
-  blamed: Vec<Sentence>,
+  blamed: Vec<Culprit>,
   explained: BTreeSet<Life>,
   /// Until when the heaviest contents are left alone because nothing tells them apart, ms.
   tied_until: Option<u64>,
@@ -170,7 +170,7 @@
   /// When what became known of crashes is to be judged here, ms: all instances report a crash
   /// within some milliseconds, and a part of the reports blames a companion. `judge`: whether
   /// crashes are reported to this instance; asked only once they are settled.
-  pub fn judged_at(&self, now: u64, judge: impl FnOnce() -> bool) -> Option<u64> {
+  pub fn analysis_at(&self, now: u64, judge: impl FnOnce() -> bool) -> Option<u64> {
     let settled = self.unsettled.map(|since| since + SETTLE_MS);
     let settled = settled.into_iter().chain(self.tied_until).min()?;
     match now < settled || judge() {
@@ -180,7 +180,7 @@
   }
 
   /// Finds contents to blame; from now on they are kept from servers.
-  pub fn judge(&mut self, now: u64) -> Vec<Sentence> {
+  pub fn find_culprits(&mut self, now: u64) -> Vec<Culprit> {
     self.unsettled = None;
     let cover = self.cover(now);
     self.tied_until = cover.tied_until;
@@ -198,7 +198,7 @@
 
   /// Contents kept from servers that were at some of the crashes that a content to blame was
   /// at, and at no other: companions that were blamed on less knowledge. They are released.
-  pub fn release(&mut self, now: u64) -> Vec<content::Key> {
+  pub fn release_companions(&mut self, now: u64) -> Vec<content::Key> {
     let cover = self.cover(now);
     let kept = self.quarantined.keys();
     let innocent = kept.filter(|content| self.accompanies(content, &cover));
@@ -247,7 +247,7 @@
 
   /// The content that most speaks against, where that is enough; all of them where several
   /// were in the same crashes, and time has not told them apart.
-  fn heaviest(&self, now: u64, cover: &mut Cover) -> Vec<Sentence> {
+  fn heaviest(&self, now: u64, cover: &mut Cover) -> Vec<Culprit> {
     let suspects = self.suspects.iter();
     let weighed: Vec<(Weight, &content::Key, &Suspect)> = suspects
       .filter(|(content, _)| !cover.blames(content))
@@ -257,16 +257,16 @@
     let Some((most, _, first)) = weighed.iter().max_by_key(|(weight, ..)| *weight) else {
       return Vec::new();
     };
-    let mut tied: Vec<Sentence> = weighed
+    let mut tied: Vec<Culprit> = weighed
       .iter()
       .filter(|(weight, _, suspect)| weight == most && first.shares(suspect))
-      .map(|((crashes, _, runs), content, _)| Sentence {
+      .map(|((crashes, _, runs), content, _)| Culprit {
         content: **content,
         crashes: *crashes,
         runs: *runs,
       })
       .collect();
-    let kept = |sentence: &Sentence| self.quarantined.contains_key(&sentence.content);
+    let kept = |sentence: &Culprit| self.quarantined.contains_key(&sentence.content);
     if tied.iter().any(kept) {
       // Another instance could tell them apart.
       tied.retain(kept);
@@ -282,7 +282,7 @@
 
   /// Contents in two crashes or more that nothing explains and that may be to blame, in the
   /// order of their turns; none where they were published before.
-  pub fn suspected(&mut self, now: u64) -> Vec<Suspected> {
+  pub fn new_suspects(&mut self, now: u64) -> Vec<Suspected> {
     let mut open = self.open(now);
     open.sort_by_key(|(spread, content, crashes)| (Reverse(*crashes), *spread, *content));
     let new = |entry: &(u32, content::Key, usize)| {
@@ -322,7 +322,7 @@
 
   /// The same for instances that start and have heard of no crash, as long as the others
   /// remember them.
-  pub fn listed(&self, now: u64) -> Vec<Suspected> {
+  pub fn current_suspects(&self, now: u64) -> Vec<Suspected> {
     let open = self.open(now).into_iter();
     let lately = |content: &content::Key| now < self.suspects[content].seen + SUSPECT_MS;
     open
@@ -372,7 +372,7 @@
   }
 
   /// Another instance that knows more has found who is to blame for what is known here.
-  pub fn explained(&mut self) {
+  pub fn clear_suspects(&mut self) {
     self.suspects.clear();
     self.unsettled = None;
     self.tied_until = None;
--- a/src/crash/stored.rs
+++ b/src/crash/stored.rs
@@ -119,7 +119,7 @@
   }
 
   /// The store is in an era: what was written in an earlier one may be lost.
-  pub fn enter(&mut self, era: u64) {
+  pub fn set_era(&mut self, era: u64) {
     if self.revision.is_some_and(|revision| revision.era < era) {
       self.revision = None;
       self.again = true;
--- a/src/dispatch.rs
+++ b/src/dispatch.rs
@@ -13,8 +13,8 @@
 use crate::{
   ask::Ticket,
   backend::{self, Backend, Holding},
-  cold::{Wants, give_up_at},
-  crash::{Door, Pass, Turn},
+  cold::{Deferrals, give_up_at},
+  crash::{Admission, Filter, Permit},
   customer::Turns,
   demand::Model,
   deployment::{Deployment, Engine},
@@ -25,7 +25,7 @@
   retry::{Bound, Budget},
   returned::Returned,
   statement::{Leaving, Rests},
-  strain::Book,
+  strain::Totals,
   verdict::Verdict,
 };
 use rand::{SeedableRng, rngs::SmallRng};
@@ -115,15 +115,15 @@
   pub(crate) lapses: Lapses,
   pub(crate) returned: Returned,
   /// What callers want that were sent away with a Retry-After.
-  pub(crate) wants: Wants,
+  pub(crate) wants: Deferrals,
   /// How slow servers were for each model since the last report.
-  pub(crate) strain: Book,
+  pub(crate) strain: Totals,
   /// Holdings of servers whose entries were not read yet, and when they came, ms.
   pub(crate) early: BTreeMap<String, (Holding, u64)>,
   /// Counts changes of holdings that were published.
   pub updates: u64,
   /// Which requests pass to servers that they may crash.
-  door: Door,
+  door: Filter,
   /// What servers said of themselves in their answers.
   pub(crate) limits: Limits,
   pub(crate) leaving: Leaving,
@@ -165,11 +165,11 @@
       updated_at: 0,
       lapses: Lapses::default(),
       returned: Returned::default(),
-      wants: Wants::new(),
-      strain: Book::new(),
+      wants: Deferrals::new(),
+      strain: Totals::new(),
       early: BTreeMap::new(),
       updates: 0,
-      door: Door::default(),
+      door: Filter::default(),
       limits: Limits::default(),
       leaving: Leaving::default(),
       rests: Rests::default(),
@@ -215,7 +215,7 @@
       Event::Ended { ticket, end } => self.ended(ticket, end),
       Event::Began(ticket) => {
         self.answering(ticket);
-        self.began(ticket);
+        self.record_answer_start(ticket);
       }
       Event::Look(ticket) => self.place(ticket),
       Event::Left(ticket) => self.left(ticket),
@@ -228,7 +228,7 @@
       Event::StoreCurrent => self.lapses.close(),
       Event::Resumed(ticket) => self.answering(ticket),
       Event::Quarantined(entries) => {
-        self.door.quarantine(now, &entries);
+        self.door.update_quarantine(now, &entries);
         self.place_waiting();
       }
       Event::RecordsRead => self.records_read = true,
@@ -242,7 +242,7 @@
       Event::Leaving(server) => self.hear_leaving(server, now, true),
       Event::Rest { server, rest_ms } => self.hear_rest(server, rest_ms),
       Event::Took(server) => self.took(server),
-      Event::Suspected(entries) => self.door.suspect(now, &entries),
+      Event::Suspected(entries) => self.door.update_suspects(now, &entries),
       Event::Stopping(new_until, wait_until) => {
         self.new_until = new_until;
         self.stop_at = wait_until;
@@ -304,7 +304,7 @@
   }
 
   fn forget(&mut self, ticket: Ticket) {
-    self.leave_ended(ticket, None);
+    self.release_permits(ticket, None);
     let Some(request) = self.requests.remove(&ticket) else {
       return;
     };
@@ -447,8 +447,8 @@
     if request.at.is_some() {
       return;
     }
-    let pass = self.door.pass(self.now, request.ask.content);
-    if pass == Pass::Never {
+    let pass = self.door.admission(self.now, request.ask.content);
+    if pass == Admission::Denied {
       return self.refuse_quarantined(ticket);
     }
     if self.now >= request.ask.until {
@@ -464,15 +464,15 @@
       return;
     }
     let choice = match pass {
-      Pass::Wait(until) => return self.hold_suspect(ticket, until),
+      Admission::Delayed(until) => return self.hold_suspect(ticket, until),
       // Nobody asks for a leave that could not be used.
-      Pass::Apart(_) if self.fitting(ticket).is_empty() => Choice::Nobody,
-      Pass::Apart(crashes) => match self.turn(ticket, crashes) {
-        Turn::Now => self.choose(ticket, Some(crashes)),
-        Turn::Asked(until) => return self.hold_suspect(ticket, until),
-        Turn::Taken => return self.hold_suspect(ticket, self.now + quota::AGAIN_MS),
+      Admission::Isolated(_) if self.fitting(ticket).is_empty() => Choice::Nobody,
+      Admission::Isolated(crashes) => match self.acquire_permit(ticket, crashes) {
+        Permit::Granted => self.choose(ticket, Some(crashes)),
+        Permit::Requested(until) => return self.hold_suspect(ticket, until),
+        Permit::Taken => return self.hold_suspect(ticket, self.now + quota::AGAIN_MS),
       },
-      Pass::Free | Pass::Never => self.choose(ticket, None),
+      Admission::Allowed | Admission::Denied => self.choose(ticket, None),
     };
     match choice {
       Choice::Server(key) => self.send(ticket, key),
@@ -531,12 +531,12 @@
       return self.refuse(ticket, Reason::ServerFailed);
     }
     if let Some(retry_after) = self.after_rest_ms(&request) {
-      self.want(&request.ask, retry_after);
+      self.add_deferral(&request.ask, retry_after);
       self.out.push(Effect::Want);
       return self.send_back(ticket, Reason::ServerRest, retry_after);
     }
     if let Some(retry_after) = self.retry_after_ms(&request) {
-      self.want(&request.ask, retry_after);
+      self.add_deferral(&request.ask, retry_after);
       self.out.push(Effect::Want);
       return self.send_back(ticket, Reason::Loading, retry_after);
     }
@@ -556,7 +556,7 @@
   fn failed_everywhere(&self, request: &Request) -> bool {
     let pool = &request.ask.pool;
     let open = |(key, backend): (backend::Key, &Backend)| {
-      backend.spec.pool == *pool && !backend.leaves() && !request.tried.contains(&key)
+      backend.spec.pool == *pool && !backend.is_leaving() && !request.tried.contains(&key)
     };
     !request.tried.is_empty() && !self.backends.iter().any(open)
   }
@@ -581,7 +581,7 @@
     }
     let limited = self.limits.rate(backend.spec.life()).is_some();
     let trial = self.rests.send(backend.spec.life(), self.now);
-    let missing = backend.lapsed;
+    let missing = backend.missing_since;
     let attempt = Attempt {
       ticket,
       limited,
--- a/src/dispatch/choice.rs
+++ b/src/dispatch/choice.rs
@@ -24,14 +24,14 @@
     let ask = &request.ask;
     for (key, backend) in &self.backends {
       let fits = backend.spec.pool == ask.pool
-        && backend.usable(self.now)
+        && backend.is_usable(self.now)
         && self.is_open(backend)
         && !request.tried.contains(&key)
         && self.fits(backend, ask);
       if fits {
         let near = backend.spec.zone == self.zone;
         let far = if near { 0 } else { ZONE_LOAD };
-        let load = backend.estimate(self.instances) + far;
+        let load = backend.estimated_load(self.instances) + far;
         found.push((key, load));
       }
     }
@@ -48,7 +48,7 @@
   ) -> Option<backend::Key> {
     let ask = &self.requests.get(&ticket)?.ask;
     if let Some(crashes) = crashes {
-      return self.nearest_hash(found, ask.content.draw(crashes));
+      return self.nearest_hash(found, ask.content.seeded_hash(crashes));
     }
     let slots = self.engine(&ask.pool).map(|engine| engine.slots);
     let least = found.iter().map(|(_, load)| *load).min()?;
--- a/src/dispatch/ending.rs
+++ b/src/dispatch/ending.rs
@@ -36,13 +36,13 @@
     }
     request.verdict = request.verdict.and(end.verdict());
     self.free_room(ticket, end.reached());
-    self.leave_ended(ticket, Some(end));
+    self.release_permits(ticket, Some(end));
     let Some(request) = self.requests.get(&ticket) else {
       return;
     };
     let model = request.ask.model.clone();
     if end == End::Full {
-      self.declined(ticket);
+      self.record_declined(ticket);
     }
     if end == End::Crashed {
       self.crashed(ticket, key);
@@ -66,7 +66,7 @@
 
   fn served(&mut self, ticket: Ticket) {
     if let Some(request) = self.requests.get(&ticket) {
-      self.door.served(request.ask.content);
+      self.door.record_served(request.ask.content);
     }
   }
 
@@ -126,7 +126,7 @@
       End::Missing => {
         if let Some(model) = &model {
           let name = missing_name(&model.name, model.adapter.as_deref());
-          if backend.miss(name, now) {
+          if backend.mark_missing(name, now) {
             self.out.push(Effect::Want);
           }
         }
@@ -158,7 +158,7 @@
     let backend = self.backends.get(attempt.backend);
     let request = self.requests.get(&attempt.ticket);
     let kept = |request: &Request| self.door.is_quarantined(self.now, request.ask.content);
-    if request.is_some_and(kept) || backend.is_none_or(Backend::leaves) {
+    if request.is_some_and(kept) || backend.is_none_or(Backend::is_leaving) {
       return Some(End::Leaving);
     }
     let rests = backend.is_some_and(|backend| self.rests(backend));
@@ -175,10 +175,10 @@
     let crash = Crash {
       content: request.ask.content,
       server: backend.spec.life(),
-      run: backend::short(&request.ask.id),
+      run: backend::short_hash(&request.ask.id),
       progress_ms: (self.now - since) as u32,
     };
-    self.door.crashed(self.now, crash);
+    self.door.record_crash(self.now, crash);
     self.out.push(Effect::Crashed);
   }
 
--- a/src/exchange.rs
+++ b/src/exchange.rs
@@ -41,7 +41,7 @@
     let holding = group.holding;
     let successor = !holding && term != group.known.term;
     self.hear_store(update.store);
-    self.hear_quarantine(now, &update.quarantined, from);
+    self.receive_quarantine(now, &update.quarantined, from);
     if let Some(sums) = update.sums.take() {
       self.hub.apply(Event::Used(sums.clone()), None);
       self.known_sums = Some((now, sums));
@@ -277,7 +277,7 @@
     if new {
       let statements = self.hub.state().statements(now);
       self.publish_statements(statements, &others);
-      self.list_suspects(now, &others);
+      self.republish_suspects(now, &others);
     }
     let pause = self.outbox.drained_ms();
     self.groups[index].plan.set_publish_interval(pause);
--- a/src/lease/promise.rs
+++ b/src/lease/promise.rs
@@ -26,7 +26,7 @@
 
 /// A machine's name, short enough to be listed for each of hundreds.
 pub fn short(machine: &str) -> u32 {
-  crate::backend::short(machine)
+  crate::backend::short_hash(machine)
 }
 
 /// Asks a machine not to take the lease.
--- a/src/limit/room.rs
+++ b/src/limit/room.rs
@@ -5,7 +5,7 @@
   ask::Ticket,
   backend::{self, Backend},
   cold::give_up_at,
-  crash::Turn,
+  crash::Permit,
   dispatch::{Effect, Request, State},
   life::Life,
   quota::{AGAIN_MS, Id, Spending},
@@ -40,11 +40,11 @@
     while let Some(key) = self.pick(ticket, &found, crashes) {
       found.retain(|(other, _)| *other != key);
       let server = self.backends[key].spec.life();
-      match self.turn_at(ticket, server, crashes.unwrap_or_default()) {
-        Turn::Now => {}
-        Turn::Asked(until) => return Choice::Ask(until),
+      match self.acquire_server_permit(ticket, server, crashes.unwrap_or_default()) {
+        Permit::Granted => {}
+        Permit::Requested(until) => return Choice::Ask(until),
         // Another suspect is there.
-        Turn::Taken => continue,
+        Permit::Taken => continue,
       }
       match self.room(ticket, key, found.is_empty()) {
         Room::Free => return Choice::Server(key),
@@ -120,7 +120,7 @@
       Some(ready) if ready <= give_up_at(&request) => self.hold(ticket),
       Some(_) => {
         // The next one finds it loaded.
-        self.want(&request.ask, after);
+        self.add_deferral(&request.ask, after);
         self.out.push(Effect::Want);
         self.send_back(ticket, Reason::ServerLimit, after);
       }
@@ -138,7 +138,7 @@
       .filter(|(key, backend)| {
         let ask = &request.ask;
         backend.spec.pool == ask.pool
-          && !backend.leaves()
+          && !backend.is_leaving()
           && !request.tried.contains(key)
           && self.fits(backend, ask)
       })
--- a/src/listing.rs
+++ b/src/listing.rs
@@ -40,14 +40,14 @@
   fn set_listed(&mut self, spec: Spec) {
     let (id, life) = (spec.id.clone(), spec.life());
     let known = self.ids.get(&id);
-    let before = known.map_or(0, |key| self.backends[*key].unsure_until);
+    let before = known.map_or(0, |key| self.backends[*key].unconfirmed_until);
     let unsure_until = match known {
       Some(_) => before,
       None => self.returned.unsure_until(life, self.now),
     };
     self.set(spec);
     if let Some(key) = self.ids.get(&id) {
-      self.backends[*key].unsure_until = unsure_until;
+      self.backends[*key].unconfirmed_until = unsure_until;
     }
   }
 
@@ -68,15 +68,15 @@
       Some(key) => {
         let backend = &mut self.backends[*key];
         backend.spec = spec;
-        backend.heard = self.now;
-        backend.lapsed = None;
+        backend.spec_received_at = self.now;
+        backend.missing_since = None;
         backend.replaced = false;
-        backend.unsure_until = 0;
+        backend.unconfirmed_until = 0;
         backend.leaving = self.leaving.contains(backend.spec.life());
       }
       None => {
         let id = spec.id.clone();
-        let mut backend = Backend::open(spec, self.now);
+        let mut backend = Backend::new(spec, self.now);
         if let Some((holding, _)) = self.early.remove(&id)
           && holding.life().counts(backend.spec.life())
         {
@@ -101,7 +101,7 @@
     self
       .backends
       .values()
-      .filter(|backend| backend.lapsed.is_some())
+      .filter(|backend| backend.missing_since.is_some())
   }
 
   /// Gives up the servers whose entries did not come back in time.
@@ -129,13 +129,13 @@
       return;
     };
     let backend = &mut self.backends[key];
-    if backend.lapsed.is_some() {
+    if backend.missing_since.is_some() {
       return;
     }
     let id = id.to_string();
     match self.lapses.wait_ms(self.now) {
-      Some(kept_ms) if !backend.leaves() => {
-        backend.lapsed = Some(self.now);
+      Some(kept_ms) if !backend.is_leaving() => {
+        backend.missing_since = Some(self.now);
         self.out.push(Effect::Missing { id, kept_ms });
       }
       _ => {
@@ -211,7 +211,7 @@
       // A server that is not named has none.
       let load = loads.iter().find(|(id, _)| *id == short);
       backend.load = load.map_or(0, |(_, load)| u32::from(*load));
-      backend.running_then = backend.running;
+      backend.running_at_publish = backend.running;
     }
   }
 }
--- a/src/placement/replicas.rs
+++ b/src/placement/replicas.rs
@@ -112,7 +112,7 @@
     let Some(strain) = &self.models[model].strain else {
       return 0.0;
     };
-    match strain.silent(self.now) || self.has_spare_replica(model) {
+    match strain.is_idle(self.now) || self.has_spare_replica(model) {
       true => 0.0,
       false => strain.rate(self.now) / self.replicas_in_use(model) as f64,
     }
@@ -126,7 +126,7 @@
     if holders <= self.policy(model).min_replicas.max(min_holders) {
       return false;
     }
-    if entry.strain.is_some_and(|strain| strain.silent(self.now)) {
+    if entry.strain.is_some_and(|strain| strain.is_idle(self.now)) {
       return true;
     }
     let mean = entry.strain.and_then(|strain| strain.mean(self.now));
@@ -182,6 +182,6 @@
 fn servers_filled(entry: &models::Entry, now: u64) -> f64 {
   let strain = entry.strain.as_ref();
   strain
-    .and_then(|strain| strain.servers(now))
+    .and_then(|strain| strain.servers_needed(now))
     .unwrap_or_default()
 }
--- a/src/placement/report.rs
+++ b/src/placement/report.rs
@@ -4,7 +4,7 @@
 use crate::{
   demand::{Demand, Model},
   life::Life,
-  strain::Seen,
+  strain::Sample,
 };
 use std::{collections::BTreeSet, net::SocketAddr};
 
@@ -32,7 +32,7 @@
   /// Servers that asked the instance to back off.
   pub resting: Vec<Life>,
   /// How slow servers were for each model since the last report.
-  pub strain: Vec<Seen>,
+  pub strain: Vec<Sample>,
   /// For each group, the number of the last change of holdings that it knows.
   pub known: Vec<u64>,
   /// It has noticed that it lacks changes.
@@ -112,7 +112,7 @@
     }
   }
 
-  fn apply_strain(&mut self, now: u64, strain: &[Seen]) {
+  fn apply_strain(&mut self, now: u64, strain: &[Sample]) {
     for sample in strain {
       let pool = self.models.find_pool(&sample.pool);
       let Some(model) = pool.and_then(|pool| self.models.find(pool, &sample.model, None)) else {
--- a/src/planner.rs
+++ b/src/planner.rs
@@ -278,7 +278,7 @@
 
 impl Planner {
   fn run(mut self) {
-    let mut suspension = Suspension::watch();
+    let mut suspension = Suspension::start();
     loop {
       let now = self.hub.now();
       let due = self.due(now);
@@ -306,12 +306,12 @@
         self.woke(away);
       }
       self.receive();
-      self.crashes();
+      self.process_crashes();
       self.flush();
       self.finish();
       self.lease();
       self.read_policies();
-      self.store_quarantine();
+      self.sync_quarantine();
       self.statements();
       self.report_uses(wanted);
       self.report(wanted);
@@ -385,8 +385,8 @@
         Ok(Message::Update(update)) => self.hear(now, update, from),
         Ok(Message::Question(index, question)) => self.promise(now, index, question, from),
         Ok(Message::Changes(kind, batch)) => self.gate(kind).offer(batch),
-        Ok(Message::Crashes(crashes)) => self.hear_crashes(now, &crashes),
-        Ok(Message::Quarantine(entries)) => self.hear_quarantine(now, &entries, from),
+        Ok(Message::Crashes(crashes)) => self.receive_crashes(now, &crashes),
+        Ok(Message::Quarantine(entries)) => self.receive_quarantine(now, &entries, from),
         Ok(Message::Suspects(entries)) => self.hub.apply(Event::Suspected(entries), None),
         Ok(Message::Uses(uses)) => self.hear_uses(now, &uses, from),
         Ok(Message::Grants(answer)) => self.hear_grants(answer),
@@ -424,7 +424,7 @@
             .record_order_result(now, &command, taken);
         }
         Done::Policies(objects) => self.take_policies(now, objects),
-        Done::Quarantine(call, result) => self.take_quarantine(now, &call, result),
+        Done::Quarantine(call, result) => self.finish_quarantine_call(now, &call, result),
         Done::Asked(index, id, reply) => {
           let inventory = reply.outcome;
           let life = self.life_of(&id, &inventory);
@@ -653,7 +653,7 @@
         .ids
         .iter()
         .filter(|(id, _)| mine(id))
-        .map(|(_, key)| state.backends[*key].found())
+        .map(|(_, key)| state.backends[*key].effective_spec())
         .collect();
       group.plan.update_servers(deployment, specs);
     }
@@ -696,7 +696,7 @@
   if let Some(holding) = &backend.holding {
     models.retain(|name, _| !holding.leaving.contains(name));
   }
-  let ready = !backend.leaves();
+  let ready = !backend.is_leaving();
   if !ready {
     models.clear();
   }
--- a/src/quarantine.rs
+++ b/src/quarantine.rs
@@ -8,7 +8,7 @@
 
 use crate::{
   content,
-  crash::{Crash, Quarantined, Sentence, Suspected, stored::Call},
+  crash::{Crash, Culprit, Quarantined, Suspected, stored::Call},
   dispatch::Event,
   message::Message,
   planner::Planner,
@@ -29,7 +29,7 @@
 
 impl Planner {
   /// Reports crashes, finds who is to blame and publishes it.
-  pub(crate) fn crashes(&mut self) {
+  pub(crate) fn process_crashes(&mut self) {
     let now = self.hub.now();
     let crashes = self.hub.state().take_crashes();
     self.registry.add(now, &crashes);
@@ -55,7 +55,7 @@
 
   /// When this instance judges what became known of crashes, ms.
   pub(crate) fn judged_at(&self, now: u64) -> Option<u64> {
-    self.registry.judged_at(now, || self.is_judge(now))
+    self.registry.analysis_at(now, || self.is_judge(now))
   }
 
   /// Judges once all reports of a crash are there, and publishes what follows.
@@ -63,15 +63,15 @@
     if self.judged_at(now).is_none_or(|at| now < at) {
       return;
     }
-    let found = self.registry.judge(now);
+    let found = self.registry.find_culprits(now);
     if !found.is_empty() {
       self.blame(now, &found);
     }
-    let innocent = self.registry.release(now);
+    let innocent = self.registry.release_companions(now);
     if !innocent.is_empty() {
       self.release(now, &innocent);
     }
-    let suspected = self.registry.suspected(now);
+    let suspected = self.registry.new_suspects(now);
     if !suspected.is_empty() {
       self.suspect(now, suspected);
     }
@@ -93,8 +93,8 @@
 
   /// Publishes suspects again, for instances that start: one that knows of none sends copies of
   /// them as it likes.
-  pub(crate) fn list_suspects(&mut self, now: u64, to: &[SocketAddr]) {
-    for part in self.registry.listed(now).chunks(ENTRIES) {
+  pub(crate) fn republish_suspects(&mut self, now: u64, to: &[SocketAddr]) {
+    for part in self.registry.current_suspects(now).chunks(ENTRIES) {
       self.spread(&Message::Suspects(part.to_vec()), to);
     }
   }
@@ -114,7 +114,7 @@
     self.enforce(entries);
   }
 
-  fn blame(&mut self, now: u64, found: &[Sentence]) {
+  fn blame(&mut self, now: u64, found: &[Culprit]) {
     for sentence in found {
       info!(self.hub.log, "request quarantined"; "content" => sentence.content.to_string(),
         "crashes" => sentence.crashes, "runs" => sentence.runs, "by" => "crashes known here");
@@ -129,12 +129,12 @@
   }
 
   /// Takes up crashes that another instance reports.
-  pub(crate) fn hear_crashes(&mut self, now: u64, crashes: &[Crash]) {
+  pub(crate) fn receive_crashes(&mut self, now: u64, crashes: &[Crash]) {
     self.registry.add(now, crashes);
   }
 
   /// Takes up what another instance keeps from servers.
-  pub(crate) fn hear_quarantine(&mut self, now: u64, entries: &[Quarantined], from: SocketAddr) {
+  pub(crate) fn receive_quarantine(&mut self, now: u64, entries: &[Quarantined], from: SocketAddr) {
     let mut new = Vec::new();
     for entry in entries {
       if self.registry.quarantine(now, *entry) {
@@ -151,20 +151,20 @@
       return;
     }
     if !self.is_judge(now) {
-      self.registry.explained();
+      self.registry.clear_suspects();
     }
     self.enforce(new);
   }
 
   /// Reads what was kept from servers before this instance started; writes what has come,
   /// where it holds a lease.
-  pub(crate) fn store_quarantine(&mut self) {
+  pub(crate) fn sync_quarantine(&mut self) {
     let now = self.hub.now();
     let holding = self.groups.first().is_some_and(|group| group.holding);
     let entries = self.registry.quarantined(now);
     if holding {
       let era = self.hub.gates.servers.progress().revision.era;
-      self.stored_quarantine.enter(era);
+      self.stored_quarantine.set_era(era);
     }
     if let Some(call) = self
       .stored_quarantine
@@ -175,7 +175,7 @@
   }
 
   /// Takes up what became of such a call.
-  pub(crate) fn take_quarantine(
+  pub(crate) fn finish_quarantine_call(
     &mut self,
     now: u64,
     call: &Call,
--- a/src/quotas.rs
+++ b/src/quotas.rs
@@ -56,7 +56,7 @@
       let bound = self.bound;
       customer.quota.map(|quota| Allowance { quota, bound })
     });
-    own.unwrap_or_else(|| leave::allow(id).or_else(|| self.limits.allow(id)))
+    own.unwrap_or_else(|| leave::allowance(id).or_else(|| self.limits.allow(id)))
   }
 }
 
--- a/src/router.rs
+++ b/src/router.rs
@@ -313,5 +313,5 @@
   let backend = &state.backends[*key];
   // An entry that is back is a change for instances that miss it too.
   let same = backend.spec.stage == spec.stage && backend.spec.address == spec.address;
-  same && backend.lapsed.is_none()
+  same && backend.missing_since.is_none()
 }
--- a/src/strain.rs
+++ b/src/strain.rs
@@ -52,7 +52,7 @@
   /// Servers that requests would fill, if each answered as slowly as their objectives allow;
   /// none where too few were seen to say. It stays as it is when servers come, which the mean
   /// of what was seen before they came does not.
-  pub fn servers(&self, now: u64) -> Option<f64> {
+  pub fn servers_needed(&self, now: u64) -> Option<f64> {
     let mut faded = *self;
     faded.fade(now);
     (faded.requests >= 1.0).then(|| faded.load / faded.requests)
@@ -66,7 +66,7 @@
   }
 
   /// Whether requests have stopped coming.
-  pub fn silent(&self, now: u64) -> bool {
+  pub fn is_idle(&self, now: u64) -> bool {
     let elapsed = now.saturating_sub(self.at);
     let expected = self.rate(self.at) * elapsed as f64 / 1_000.0;
     elapsed >= SILENT_LEAST_MS && expected > OVERDUE
@@ -83,7 +83,7 @@
 
 /// What an instance saw of a model since its last report.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Seen {
+pub struct Sample {
   pub pool: String,
   pub model: String,
   pub requests: f32,
@@ -91,11 +91,11 @@
 }
 
 /// What was seen by pool and model.
-pub(crate) type Book = BTreeMap<(String, String), (f32, f32)>;
+pub(crate) type Totals = BTreeMap<(String, String), (f32, f32)>;
 
 impl State {
   /// The answer of a send has begun.
-  pub(crate) fn began(&mut self, ticket: Ticket) {
+  pub(crate) fn record_answer_start(&mut self, ticket: Ticket) {
     let Some(request) = self.requests.get_mut(&ticket) else {
       return;
     };
@@ -106,7 +106,7 @@
   }
 
   /// A send was declined by a full server.
-  pub(crate) fn declined(&mut self, ticket: Ticket) {
+  pub(crate) fn record_declined(&mut self, ticket: Ticket) {
     self.saw(ticket, FULL);
   }
 
@@ -124,11 +124,11 @@
   }
 
   /// What was seen since this was last asked, for the planner.
-  pub fn take_strain(&mut self) -> Vec<Seen> {
+  pub fn take_strain(&mut self) -> Vec<Sample> {
     let book = std::mem::take(&mut self.strain);
     book
       .into_iter()
-      .map(|((pool, model), (requests, slowness))| Seen {
+      .map(|((pool, model), (requests, slowness))| Sample {
         pool,
         model,
         requests,
--- a/stand-ins/src/replay.rs
+++ b/stand-ins/src/replay.rs
@@ -14,7 +14,7 @@
     plan::{Effect, Plan, Publication, Report},
     urgency::Wait,
   },
-  strain::Seen,
+  strain::Sample,
 };
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use rustix::time::{ClockId, clock_gettime};
@@ -636,14 +636,14 @@
     let often = common(self.rng.random_range(0..COMMON));
     *self.seen[instance].entry(often).or_default() += 1;
     let seen = std::mem::take(&mut self.seen[instance]).into_iter();
-    let strain = seen.map(|(model, requests)| Seen {
+    let strain = seen.map(|(model, requests)| Sample {
       pool: "pool".into(),
       model,
       requests: requests as f32,
       slowness: requests as f32 * SLOWNESS,
     });
     let (requests, slowness) = std::mem::take(&mut self.slowness[instance]);
-    let popular = (requests > 0).then(|| Seen {
+    let popular = (requests > 0).then(|| Sample {
       pool: "pool".into(),
       model: POPULAR.into(),
       requests: requests as f32,
--- a/tests/clock.rs
+++ b/tests/clock.rs
@@ -42,7 +42,7 @@
 #[test]
 fn a_suspension_is_noticed_once() {
   let _alone = alone();
-  let mut suspension = Suspension::watch();
+  let mut suspension = Suspension::start();
   skip(AWAY);
   let away = suspension.take().expect("a suspension");
   // The two clocks are read one after the other, and other tests skip time too.
--- a/tests/copies.rs
+++ b/tests/copies.rs
@@ -155,7 +155,7 @@
     let uses = self.states[index].uses(self.now);
     let grants = self
       .accounts
-      .report(self.now, index as u64, &uses, leave::allow);
+      .report(self.now, index as u64, &uses, leave::allowance);
     let sent = self.now;
     self.apply(index, Event::Granted { sent, grants });
   }
@@ -246,8 +246,8 @@
   let mut fleet = Fleet::play();
   fleet.run(BACK_MS + 50);
   assert_eq!(fleet.sends.len(), 1);
-  let sums = fleet.accounts.sums(fleet.now, leave::allow);
-  fleet.accounts = Accounts::open(fleet.now, Some((fleet.now, &sums)), leave::allow);
+  let sums = fleet.accounts.sums(fleet.now, leave::allowance);
+  fleet.accounts = Accounts::open(fleet.now, Some((fleet.now, &sums)), leave::allowance);
   fleet.run(BACK_MS + 3_000);
   assert_eq!(fleet.sends.len(), 1, "{:?}", fleet.sends);
 }
--- a/tests/dispatch.rs
+++ b/tests/dispatch.rs
@@ -4,7 +4,7 @@
 
 use bendsaddle::{
   ask::Ticket,
-  backend::{Holding, Spec, Stage, short},
+  backend::{Holding, Spec, Stage, short_hash},
   contact::Silence,
   demand::Model,
   deployment::{Deployment, Engine},
@@ -411,7 +411,7 @@
     Event::Updated {
       holdings: Vec::new(),
       all: None,
-      loads: Some(some.map(|(id, load)| (short(id), load)).collect()),
+      loads: Some(some.map(|(id, load)| (short_hash(id), load)).collect()),
       instances: 3,
     }
   };
--- a/tests/holder/mod.rs
+++ b/tests/holder/mod.rs
@@ -9,7 +9,7 @@
   life::Life,
   placement::plan::{Effect, Plan, Report},
   placement::urgency::Wait,
-  strain::Seen,
+  strain::Sample,
 };
 use std::{
   collections::{BTreeMap, BTreeSet},
@@ -37,7 +37,7 @@
   /// Servers that asked for rest.
   pub resting: Vec<String>,
   /// What requests see of the servers that hold their models.
-  pub strain: Vec<Seen>,
+  pub strain: Vec<Sample>,
   /// What becomes of orders from now on, instead of being carried out.
   pub fate: Option<Taken>,
   /// Servers whose processes have ended.
--- a/tests/plan.rs
+++ b/tests/plan.rs
@@ -7,7 +7,7 @@
   backend::Stage,
   command::{Inventory, Taken, Unheard},
   placement::plan::{Effect, Plan, Report},
-  strain::Seen,
+  strain::Sample,
 };
 use holder::{Server, World};
 use std::collections::{BTreeMap, BTreeSet};
@@ -292,8 +292,8 @@
   assert!(told.len() >= 20, "{} instances were told", told.len());
 }
 
-fn seen(model: &str, slowness: f32) -> Seen {
-  Seen {
+fn seen(model: &str, slowness: f32) -> Sample {
+  Sample {
     pool: "pool".into(),
     model: model.into(),
     requests: 1.0,
--- a/tests/quarantine.rs
+++ b/tests/quarantine.rs
@@ -35,7 +35,7 @@
 }
 
 fn judged(registry: &mut Registry, now: u64) -> Vec<u128> {
-  let found = registry.judge(now);
+  let found = registry.find_culprits(now);
   found.iter().map(|sentence| sentence.content.0).collect()
 }
 
@@ -371,13 +371,13 @@
     ..object(7, serde_json::Value::Null)
   };
   holder.answered(0, &write, Ok(written.clone()));
-  holder.enter(1);
+  holder.set_era(1);
   assert_eq!(
     holder.call(1, 0, true, &[kept(GUILTY)]),
     None,
     "it is there"
   );
-  holder.enter(2);
+  holder.set_era(2);
   let read = holder.call(2, 0, true, &[kept(GUILTY)]).expect("a read");
   assert_eq!(read, Call::Read);
   let copy = Object {
--- a/tests/statements.rs
+++ b/tests/statements.rs
@@ -145,7 +145,7 @@
   state.reduce(11, Event::Leaving(life("s")));
   assert_eq!(state.changes, changes + 1);
   let key = state.ids["s"];
-  assert_eq!(state.backends[key].found().stage, Stage::Draining);
+  assert_eq!(state.backends[key].effective_spec().stage, Stage::Draining);
   assert_eq!(state.take_statements(), [(life("s"), true)]);
   assert_eq!(state.take_statements(), []);
   let statement = Statement {
--- a/tests/suspects.rs
+++ b/tests/suspects.rs
@@ -7,7 +7,7 @@
 
 use bendsaddle::{
   content,
-  crash::{Crash, Door, Pass, Quarantined, Registry, Suspected},
+  crash::{Admission, Crash, Filter, Quarantined, Registry, Suspected},
   life::Life,
 };
 use std::collections::BTreeSet;
@@ -86,10 +86,10 @@
     while let Some((_, crash)) = reports.next_if(|(at, _)| *at <= now) {
       registry.add(now, &[*crash]);
     }
-    if registry.judged_at(now, || true).is_none_or(|at| now < at) {
+    if registry.analysis_at(now, || true).is_none_or(|at| now < at) {
       continue;
     }
-    let found = registry.judge(now);
+    let found = registry.find_culprits(now);
     blamed.extend(found.iter().map(|sentence| sentence.content.0));
   }
   blamed
@@ -130,9 +130,9 @@
   for server in 1..=3 {
     registry.add(0, &[crash(8, server, 1, 0), crash(9, server, 2, 0)]);
   }
-  registry.explained();
-  assert_eq!(registry.judged_at(10_000, || true), None);
-  assert!(registry.judge(10_000).is_empty());
+  registry.clear_suspects();
+  assert_eq!(registry.analysis_at(10_000, || true), None);
+  assert!(registry.find_culprits(10_000).is_empty());
 }
 
 /// An instance that is no judge was due at a moment that had passed, again and again until it
@@ -141,12 +141,12 @@
 fn an_instance_that_is_no_judge_is_due_when_it_judges_alone() {
   let mut registry = Registry::default();
   registry.add(100, &[crash(8, 1, 1, 0)]);
-  let settled = registry.judged_at(100, || false).expect("a crash");
-  assert_eq!(registry.judged_at(settled, || true), Some(settled));
-  let alone = registry.judged_at(settled, || false).expect("a crash");
+  let settled = registry.analysis_at(100, || false).expect("a crash");
+  assert_eq!(registry.analysis_at(settled, || true), Some(settled));
+  let alone = registry.analysis_at(settled, || false).expect("a crash");
   assert!(alone >= settled + 1_000, "{settled} {alone}");
-  registry.judge(alone);
-  assert_eq!(registry.judged_at(alone, || false), None);
+  registry.find_culprits(alone);
+  assert_eq!(registry.analysis_at(alone, || false), None);
 }
 
 #[test]
@@ -156,12 +156,12 @@
   for server in 1..=3 {
     registry.add(0, &[crash(9, server, 2, 0)]);
   }
-  assert_eq!(registry.judge(30)[0].content, beside);
+  assert_eq!(registry.find_culprits(30)[0].content, beside);
   for server in 1..=4 {
     registry.add(40, &[crash(8, server, 1, 0)]);
   }
-  assert_eq!(registry.judge(60)[0].content, guilty);
-  assert_eq!(registry.release(60), vec![beside]);
+  assert_eq!(registry.find_culprits(60)[0].content, guilty);
+  assert_eq!(registry.release_companions(60), vec![beside]);
   let again = Quarantined {
     content: beside,
     left_ms: 1_000,
@@ -175,31 +175,31 @@
 
 #[test]
 fn a_content_that_was_in_a_crash_goes_to_the_server_that_its_hash_names() {
-  let mut door = Door::default();
+  let mut door = Filter::default();
   let key = content::Key(8);
-  assert_eq!(door.pass(0, key), Pass::Free);
-  door.crashed(0, crash(8, 1, 1, 0));
-  assert_eq!(door.pass(0, key), Pass::Apart(1));
-  door.served(key);
-  assert_eq!(door.pass(1, key), Pass::Free);
+  assert_eq!(door.admission(0, key), Admission::Allowed);
+  door.record_crash(0, crash(8, 1, 1, 0));
+  assert_eq!(door.admission(0, key), Admission::Isolated(1));
+  door.record_served(key);
+  assert_eq!(door.admission(1, key), Admission::Allowed);
 }
 
 #[test]
 fn after_two_crashes_a_content_waits_for_its_turn_and_no_longer_than_300_ms() {
-  let mut door = Door::default();
+  let mut door = Filter::default();
   let key = content::Key(8);
-  door.crashed(0, crash(8, 1, 1, 0));
-  door.crashed(200, crash(8, 2, 1, 10));
-  assert!(matches!(door.pass(200, key), Pass::Wait(until) if until <= 500));
+  door.record_crash(0, crash(8, 1, 1, 0));
+  door.record_crash(200, crash(8, 2, 1, 10));
+  assert!(matches!(door.admission(200, key), Admission::Delayed(until) if until <= 500));
   let turn = |turn| Suspected {
     content: key,
     crashes: 2,
     turn,
   };
-  door.suspect(230, &[turn(0)]);
-  assert_eq!(door.pass(230, key), Pass::Apart(2));
-  door.suspect(230, &[turn(40)]);
-  assert!(matches!(door.pass(230, key), Pass::Wait(until) if until <= 500));
+  door.update_suspects(230, &[turn(0)]);
+  assert_eq!(door.admission(230, key), Admission::Isolated(2));
+  door.update_suspects(230, &[turn(40)]);
+  assert!(matches!(door.admission(230, key), Admission::Delayed(until) if until <= 500));
 }
 
 #[test]
@@ -207,51 +207,54 @@
   let key = content::Key(8);
   let mut registry = Registry::default();
   registry.add(0, &[crash(8, 1, 1, 0), crash(8, 2, 2, 0)]);
-  let listed = registry.listed(1_000);
+  let listed = registry.current_suspects(1_000);
   assert_eq!(listed.len(), 1);
-  let mut new = Door::default();
-  new.suspect(1_000, &listed);
-  assert_eq!(new.pass(1_000, key), Pass::Apart(2));
-  let mut known = Door::default();
+  let mut new = Filter::default();
+  new.update_suspects(1_000, &listed);
+  assert_eq!(new.admission(1_000, key), Admission::Isolated(2));
+  let mut known = Filter::default();
   let turn = Suspected {
     content: key,
     crashes: 2,
     turn: 2,
   };
-  known.suspect(1_000, &[turn]);
-  let waits = known.pass(1_000, key);
-  assert!(matches!(waits, Pass::Wait(_)));
-  known.suspect(1_001, &listed);
-  assert_eq!(known.pass(1_001, key), waits);
+  known.update_suspects(1_000, &[turn]);
+  let waits = known.admission(1_000, key);
+  assert!(matches!(waits, Admission::Delayed(_)));
+  known.update_suspects(1_001, &listed);
+  assert_eq!(known.admission(1_001, key), waits);
   assert!(
-    registry.listed(60_000).is_empty(),
+    registry.current_suspects(60_000).is_empty(),
     "all others have forgotten it"
   );
 }
 
 #[test]
 fn a_companion_that_came_further_than_before_waits_for_nothing() {
-  let mut door = Door::default();
-  door.crashed(0, crash(9, 1, 2, 3_000));
-  door.crashed(200, crash(9, 2, 2, 30));
-  assert_eq!(door.pass(200, content::Key(9)), Pass::Apart(2));
+  let mut door = Filter::default();
+  door.record_crash(0, crash(9, 1, 2, 3_000));
+  door.record_crash(200, crash(9, 2, 2, 30));
+  assert_eq!(door.admission(200, content::Key(9)), Admission::Isolated(2));
 }
 
 #[test]
 fn a_verdict_ends_all_suspicion() {
-  let mut door = Door::default();
+  let mut door = Filter::default();
   for server in 1..=3 {
-    door.crashed(0, crash(8, server, 1, 0));
-    door.crashed(0, crash(9, server, 2, 0));
+    door.record_crash(0, crash(8, server, 1, 0));
+    door.record_crash(0, crash(9, server, 2, 0));
   }
-  assert!(matches!(door.pass(1, content::Key(9)), Pass::Wait(_)));
+  assert!(matches!(
+    door.admission(1, content::Key(9)),
+    Admission::Delayed(_)
+  ));
   let verdict = Quarantined {
     content: content::Key(8),
     left_ms: 1_000,
   };
-  door.quarantine(2, &[verdict]);
-  assert_eq!(door.pass(2, content::Key(8)), Pass::Never);
-  assert_eq!(door.pass(2, content::Key(9)), Pass::Free);
+  door.update_quarantine(2, &[verdict]);
+  assert_eq!(door.admission(2, content::Key(8)), Admission::Denied);
+  assert_eq!(door.admission(2, content::Key(9)), Admission::Allowed);
 }
 
 #[test]
@@ -264,14 +267,14 @@
       &[crash(2, server + 10, 2, 0), crash(7, server + 10, 4, 30)],
     );
   }
-  let blamed = registry.judge(30);
+  let blamed = registry.find_culprits(30);
   let blamed: BTreeSet<u128> = blamed.iter().map(|one| one.content.0).collect();
   assert!(blamed.contains(&1) || blamed.contains(&7));
   // The one that stood beside both is released once they have struck once more.
   registry.add(100, &[crash(1, 4, 5, 0), crash(2, 14, 6, 0)]);
   registry.add(100, &[crash(1, 5, 7, 0), crash(2, 15, 8, 0)]);
   registry.add(100, &[crash(1, 6, 9, 0), crash(2, 16, 10, 0)]);
-  registry.judge(130);
+  registry.find_culprits(130);
   let kept = registry.quarantined(130);
   assert!(kept.iter().any(|entry| entry.content.0 == 1));
   assert!(kept.iter().any(|entry| entry.content.0 == 2));
