--- a/src/crash/mod.rs
+++ b/src/crash/mod.rs
@@ -4,14 +4,14 @@
 //! Load pattern: one request comes again under new ids at all instances at once, and each
 //! server that begins to run it ends, with all that runs there. Pure: no I/O, no clock.
 
-mod door;
-pub mod leave;
+mod filter;
+pub mod permit;
 mod registry;
 mod repeated;
 pub mod stored;
 
-pub use door::{Admission, Filter};
-pub(crate) use leave::Permit;
+pub use filter::{Admission, Filter};
+pub(crate) use permit::Permit;
 pub(crate) use registry::SUSPICIOUS;
 pub use registry::{Culprit, Registry};
 pub use repeated::Repeated;
--- a/src/crash/registry.rs
+++ b/src/crash/registry.rs
@@ -6,7 +6,7 @@
 //! becomes known: whoever was blamed for crashes that another content explains better is
 //! released.
 
-use super::{Crash, LISTED, Quarantined, Suspected, door::SUSPECT_MS};
+use super::{Crash, LISTED, Quarantined, Suspected, filter::SUSPECT_MS};
 use crate::{content, life::Life};
 use std::{
   cmp::Reverse,
--- a/src/quotas.rs
+++ b/src/quotas.rs
@@ -6,7 +6,7 @@
 //! process that stood still makes no key look known.
 
 use crate::{
-  crash::leave,
+  crash::permit,
   customer::{Book, Standing},
   dispatch::Event,
   hub::lock,
@@ -56,7 +56,7 @@
       let bound = self.bound;
       customer.quota.map(|quota| Allowance { quota, bound })
     });
-    own.unwrap_or_else(|| leave::allowance(id).or_else(|| self.limits.allow(id)))
+    own.unwrap_or_else(|| permit::allowance(id).or_else(|| self.limits.allow(id)))
   }
 }
 
--- a/tests/copies.rs
+++ b/tests/copies.rs
@@ -13,7 +13,7 @@
 use bendsaddle::{
   ask::Ticket,
   content,
-  crash::{Suspected, leave},
+  crash::{Suspected, permit},
   deployment::Engine,
   dispatch::{Ask, Change, Effect, End, Event, State},
   quota::Accounts,
@@ -155,7 +155,7 @@
     let uses = self.states[index].uses(self.now);
     let grants = self
       .accounts
-      .report(self.now, index as u64, &uses, leave::allowance);
+      .report(self.now, index as u64, &uses, permit::allowance);
     let sent = self.now;
     self.apply(index, Event::Granted { sent, grants });
   }
@@ -246,8 +246,8 @@
   let mut fleet = Fleet::play();
   fleet.run(BACK_MS + 50);
   assert_eq!(fleet.sends.len(), 1);
-  let sums = fleet.accounts.sums(fleet.now, leave::allowance);
-  fleet.accounts = Accounts::open(fleet.now, Some((fleet.now, &sums)), leave::allowance);
+  let sums = fleet.accounts.sums(fleet.now, permit::allowance);
+  fleet.accounts = Accounts::open(fleet.now, Some((fleet.now, &sums)), permit::allowance);
   fleet.run(BACK_MS + 3_000);
   assert_eq!(fleet.sends.len(), 1, "{:?}", fleet.sends);
 }
