--- a/src/planner.rs
+++ b/src/planner.rs
@@ -347,7 +347,7 @@
       }
     }
     let repeated = [
-      self.judged_at(now),
+      self.analysis_at(now),
       self.reported_crashes.due(),
       self.published_quarantine.due(),
       self.reported_statements.due(),
--- a/src/quarantine.rs
+++ b/src/quarantine.rs
@@ -54,13 +54,13 @@
   }
 
   /// When this instance judges what became known of crashes, ms.
-  pub(crate) fn judged_at(&self, now: u64) -> Option<u64> {
+  pub(crate) fn analysis_at(&self, now: u64) -> Option<u64> {
     self.registry.analysis_at(now, || self.is_judge(now))
   }
 
   /// Judges once all reports of a crash are there, and publishes what follows.
   fn judge(&mut self, now: u64) {
-    if self.judged_at(now).is_none_or(|at| now < at) {
+    if self.analysis_at(now).is_none_or(|at| now < at) {
       return;
     }
     let found = self.registry.find_culprits(now);
