--- a/src/crash/filter.rs
+++ b/src/crash/filter.rs
@@ -1,79 +1,80 @@
-//! Which requests pass to servers: those that crash them do not, and suspects part.
+//! Decides whether a request may be sent to a server: requests that crash servers are rejected,
+//! and suspects are spread over different servers.
 //!
-//! Load pattern: a crash throws twenty to ninety requests back at once, one of them its cause.
-//! Where they all go on to the same next server it ends too, and after the third nothing tells
-//! them apart. So a content that was in a crash goes to the server that its hash names, the
-//! same one from all instances; after the second crash it waits for its turn there, and after
-//! the third for the verdict. Pure: no I/O, no clock.
+//! Load pattern: a crash returns 20 to 90 requests at once, one of which caused it. If all of
+//! them move to the same next server, it crashes too, and after the third crash nothing
+//! distinguishes them. So a content that was in a crash goes to the server selected by its
+//! hash, which is the same from all instances. After the second crash it waits for its turn
+//! there, and after the third for the result of the analysis. Pure: no I/O, no clock.
 
 use super::{
-  Crash, LISTED, Quarantined, Suspected,
-  registry::{ALIKE_MS, CRASHES, SUSPICIOUS},
+  Crash, Quarantined, REPUBLISHED, Suspected,
+  registry::{CULPRIT_CRASHES, SIMILAR_PROGRESS_MS, SUSPECT_CRASHES},
 };
 use crate::{content, life::Life};
 use std::collections::HashMap;
 
-/// A turn is published within this time after a second crash, ms: reports settle for 20 and
-/// take some more to the judges and back.
+/// A turn is published within this time after a second crash: the analyzers collect reports
+/// for 20 ms, and the messages to them and back take a few more.
 const TURN_WAIT_MS: u64 = 100;
-/// From one turn to the next, ms: a request that crashes servers ended them 130 to 230 ms
-/// after it was sent.
-const TURN_MS: u64 = 80;
-/// Turns at the most; later suspects go with the last one. An innocent one waits for 260 ms,
-/// with the time that reports take.
-const TURNS: u32 = 3;
-/// A verdict is published within this time after a third crash, ms: two that nothing tells
-/// apart are both kept from servers after 1,500.
-const VERDICT_WAIT_MS: u64 = 1_700;
-/// Suspects are forgotten after this time, ms: each instance hears of later crashes anew.
-pub(super) const SUSPECT_MS: u64 = 30_000;
-/// Suspects remembered at the most, 100 bytes each; the ones least lately seen go first.
-const SUSPECTS: usize = 1_024;
+/// Interval between turns. Requests that crash servers did so 130 to 230 ms after they were
+/// sent.
+const TURN_INTERVAL_MS: u64 = 80;
+/// Later suspects share the last turn. An innocent request waits for up to 260 ms, including
+/// the time that reports take.
+const MAX_TURNS: u32 = 3;
+/// A culprit is published within this time after a third crash: two suspects that nothing
+/// distinguishes are both quarantined after 1,500 ms.
+const ANALYSIS_WAIT_MS: u64 = 1_700;
+/// Suspects are dropped after this time. Later crashes are published to each instance again.
+pub(super) const SUSPECT_TTL_MS: u64 = 30_000;
+/// About 100 bytes each; the least recently seen suspects are evicted first.
+const MAX_SUSPECTS: usize = 1_024;
 
-/// Whether a request may go to a server.
+/// Whether a request may be sent to a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
   Allowed,
-  /// To the server that its content and this count of crashes name.
+  /// Only to the server selected by its content and this number of crashes.
   Isolated(u32),
-  /// Not before this time, ms.
+  /// Not before this time, in ms.
   Delayed(u64),
   Denied,
 }
 
 #[derive(Clone, Debug, Default)]
 struct Suspect {
-  /// Servers that ended under it, as found here.
+  /// Servers that crashed while running it, as observed by this instance.
   servers: Vec<Life>,
-  /// Crashes as known here or published.
+  /// Number of crashes observed here or published.
   crashes: u32,
-  /// How far its runs had come, least and most, ms.
+  /// Lowest and highest progress of its runs, in ms.
   progress: Option<(u32, u32)>,
-  /// It is not sent before this time, ms.
+  /// Not sent before this time, in ms.
   wait_until: u64,
-  seen: u64,
+  last_seen: u64,
 }
 
 impl Suspect {
-  fn alike(&self) -> bool {
+  fn has_similar_progress(&self) -> bool {
     self
       .progress
-      .is_none_or(|(least, most)| most - least <= ALIKE_MS)
+      .is_none_or(|(lowest, highest)| highest - lowest <= SIMILAR_PROGRESS_MS)
   }
 }
 
-/// What one instance knows of requests that end servers.
+/// An instance's view of requests that crash servers.
 #[derive(Clone, Debug, Default)]
 pub struct Filter {
-  /// Runs that ended with their servers and are not reported yet.
+  /// Runs that ended in a crash and are not reported yet.
   crashes: Vec<Crash>,
-  /// Until when contents go to no server, ms.
+  /// End of the quarantine by content, in ms.
   quarantined: HashMap<content::Key, u64>,
   suspects: HashMap<content::Key, Suspect>,
 }
 
 impl Filter {
-  /// Whether a request of this content may go to a server.
+  /// Returns whether a request with this content may be sent to a server.
   pub fn admission(&self, now: u64, content: content::Key) -> Admission {
     if self.is_quarantined(now, content) {
       return Admission::Denied;
@@ -85,70 +86,71 @@
     }
   }
 
-  /// Whether a content goes to no server.
+  /// Returns whether requests with this content must not be sent to any server.
   pub fn is_quarantined(&self, now: u64, content: content::Key) -> bool {
     let until = self.quarantined.get(&content);
     until.is_some_and(|until| now < *until)
   }
 
-  /// A run has ended with its server.
+  /// Records a run that ended in the crash of its server.
   pub fn record_crash(&mut self, now: u64, crash: Crash) {
     self.crashes.push(crash);
-    self.forget(now);
+    self.evict_suspects(now);
     let suspect = self.suspects.entry(crash.content).or_default();
-    suspect.seen = now;
-    let (least, most) = suspect.progress.unwrap_or((u32::MAX, 0));
+    suspect.last_seen = now;
+    let (lowest, highest) = suspect.progress.unwrap_or((u32::MAX, 0));
     let progress = crash.progress_ms;
-    suspect.progress = Some((least.min(progress), most.max(progress)));
+    suspect.progress = Some((lowest.min(progress), highest.max(progress)));
     if suspect.servers.contains(&crash.server) {
       return;
     }
-    if suspect.servers.len() < CRASHES {
+    if suspect.servers.len() < CULPRIT_CRASHES {
       suspect.servers.push(crash.server);
     }
     suspect.crashes = suspect.crashes.max(suspect.servers.len() as u32);
-    if suspect.alike() {
+    if suspect.has_similar_progress() {
       let wait = match suspect.servers.len() {
-        0..SUSPICIOUS => 0,
-        SUSPICIOUS..CRASHES => TURN_WAIT_MS,
-        _ => VERDICT_WAIT_MS,
+        0..SUSPECT_CRASHES => 0,
+        SUSPECT_CRASHES..CULPRIT_CRASHES => TURN_WAIT_MS,
+        _ => ANALYSIS_WAIT_MS,
       };
       suspect.wait_until = suspect.wait_until.max(now + wait);
     }
   }
 
-  /// A request was served: its content ends no servers.
+  /// Clears a content of suspicion after one of its requests was served without a crash.
   pub fn record_served(&mut self, content: content::Key) {
     if !self.suspects.is_empty() {
       self.suspects.remove(&content);
     }
   }
 
-  /// Takes up who may be to blame, with turns.
+  /// Applies published suspects and their turns.
   pub fn update_suspects(&mut self, now: u64, entries: &[Suspected]) {
-    self.forget(now);
+    self.evict_suspects(now);
     for entry in entries {
       let suspect = self.suspects.entry(entry.content).or_default();
-      suspect.seen = now;
-      // Found here a moment ago, and waiting for the turn; or heard from another judge.
+      suspect.last_seen = now;
+      // The higher count was just observed here, and its turn is not published yet, or it was
+      // published by another analyzer.
       if entry.crashes < suspect.crashes {
         continue;
       }
-      if entry.turn == LISTED {
+      if entry.turn == REPUBLISHED {
         suspect.crashes = entry.crashes;
         continue;
       }
       let wait = match entry.crashes as usize {
-        0..CRASHES => TURN_MS * u64::from(entry.turn.min(TURNS - 1)),
-        _ => VERDICT_WAIT_MS,
+        0..CULPRIT_CRASHES => TURN_INTERVAL_MS * u64::from(entry.turn.min(MAX_TURNS - 1)),
+        _ => ANALYSIS_WAIT_MS,
       };
       suspect.crashes = entry.crashes;
       suspect.wait_until = now + wait;
     }
   }
 
-  /// Takes up who goes to no server, or is released. The crashes are explained: nobody else
-  /// is suspected for them.
+  /// Applies published quarantines and releases. They explain the crashes, so all suspects are
+  /// dropped.
   pub fn update_quarantine(&mut self, now: u64, entries: &[Quarantined]) {
     self.quarantined.retain(|_, until| now < *until);
     for entry in entries {
@@ -162,16 +164,19 @@
     self.suspects.clear();
   }
 
-  /// Runs that ended with their servers since this was last asked.
+  /// Returns the runs that ended in a crash since the last call.
   pub fn take_crashes(&mut self) -> Vec<Crash> {
     std::mem::take(&mut self.crashes)
   }
 
-  fn forget(&mut self, now: u64) {
-    let kept = |suspect: &Suspect| now < suspect.seen + SUSPECT_MS;
-    self.suspects.retain(|_, suspect| kept(suspect));
-    while self.suspects.len() > SUSPECTS {
-      let oldest = self.suspects.iter().min_by_key(|(_, suspect)| suspect.seen);
+  fn evict_suspects(&mut self, now: u64) {
+    let is_current = |suspect: &Suspect| now < suspect.last_seen + SUSPECT_TTL_MS;
+    self.suspects.retain(|_, suspect| is_current(suspect));
+    while self.suspects.len() > MAX_SUSPECTS {
+      let oldest = self
+        .suspects
+        .iter()
+        .min_by_key(|(_, suspect)| suspect.last_seen);
       let Some(oldest) = oldest.map(|(content, _)| *content) else {
         return;
       };
--- a/src/crash/mod.rs
+++ b/src/crash/mod.rs
@@ -1,8 +1,8 @@
-//! Requests that crash the servers that run them: what is known of crashes, and which
-//! requests are kept from all servers for it.
+//! Requests that crash the servers that run them: reported crashes, suspects and the
+//! quarantine.
 //!
-//! Load pattern: one request comes again under new ids at all instances at once, and each
-//! server that begins to run it ends, with all that runs there. Pure: no I/O, no clock.
+//! Load pattern: the same request arrives under new ids at all instances at once, and each
+//! server that starts it crashes together with everything else it runs. Pure: no I/O, no clock.
 
 mod filter;
 pub mod permit;
@@ -12,41 +12,41 @@
 
 pub use filter::{Admission, Filter};
 pub(crate) use permit::Permit;
-pub(crate) use registry::SUSPICIOUS;
+pub(crate) use registry::SUSPECT_CRASHES;
 pub use registry::{Culprit, Registry};
 pub use repeated::Repeated;
 
 use crate::{content, life::Life};
 use serde::{Deserialize, Serialize};
 
-/// A run that ended with the process of its server.
+/// A run that ended because its server process ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Crash {
   pub content: content::Key,
   pub server: Life,
-  /// Short name of the request's id.
+  /// Short hash of the request id.
   pub run: u32,
-  /// From the run's first event to its end, ms; 0: there was none.
+  /// Time from the run's first event to its end; 0 if there was no event.
   pub progress_ms: u32,
 }
 
-/// A request that goes to no server.
+/// A request that must not be sent to any server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Quarantined {
   pub content: content::Key,
-  /// For so much longer, ms; 0: it is released.
+  /// Remaining time; 0 if the request is released.
   pub left_ms: u32,
 }
 
-/// A request that may be to blame for crashes.
+/// A request that may have caused crashes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Suspected {
   pub content: content::Key,
-  /// Crashes that nothing else explains.
+  /// Crashes that no other request explains.
   pub crashes: u32,
-  /// Its place among those that may be to blame; `LISTED`: it was published with that before.
+  /// Position among the suspects; `REPUBLISHED` if the position was published before.
   pub turn: u32,
 }
 
-/// The turn of a suspect that is published again, for instances that start.
-pub const LISTED: u32 = u32::MAX;
+/// Turn of a suspect that is published again for instances that have just started.
+pub const REPUBLISHED: u32 = u32::MAX;
--- a/src/crash/permit.rs
+++ b/src/crash/permit.rs
@@ -1,14 +1,14 @@
-//! Leaves of suspects: of a request that may crash servers one copy runs over all instances at any
-//! time.
+//! Permits for suspects: at most one copy of a request that may crash servers runs at a time over
+//! all instances.
 //!
-//! Load pattern: callers repeat such a request at all instances, and its copies wait together for
-//! the one server that is left. So from the second crash on each send takes the one unit of a quota
-//! that all instances share, and gives it back when its run has ended without a crash. After a
-//! crash nothing is given back: the next stage has a unit of its own, for those who know of the
-//! crash. A server takes one suspect at a time in the same way, whichever it is: nothing tells two
-//! apart that end it together.
+//! Load pattern: callers retry such a request at all instances, and its copies wait together for
+//! the one server that is left. So from the second crash on, each send acquires the only unit of a
+//! quota that all instances share, and releases it when its run has ended without a crash. After a
+//! crash the unit is not released: the next crash count has a unit of its own, for instances that
+//! know of the crash. In the same way a server runs one suspect at a time, because nothing
+//! distinguishes two suspects that crash it together.
 
-use super::SUSPICIOUS;
+use super::SUSPECT_CRASHES;
 use crate::{
   ask::Ticket,
   content,
@@ -17,72 +17,72 @@
   quota::{Allowance, Bound, Id, Quota, Spending},
 };
 
-/// A leave that nobody gave back counts for so long, ms: a run takes a few seconds, and the
-/// instance that took it may have died.
-const LEAVE_MS: u64 = 10_000;
+/// A permit that is not released expires after this time: a run takes a few seconds, and the
+/// instance that holds the permit may have died.
+const PERMIT_TTL_MS: u64 = 10_000;
 
-/// What all instances may send of one suspect at a time.
-pub const LEAVE: Allowance = Allowance {
+/// Allows one copy of a suspect at a time over all instances.
+pub const ALLOWANCE: Allowance = Allowance {
   quota: Quota {
     rate: 0.0,
     burst: 1.0,
   },
   bound: Bound {
-    window_ms: LEAVE_MS,
+    window_ms: PERMIT_TTL_MS,
     overage: 0.0,
     slack: 0.0,
   },
 };
 
-/// Names the leave of a suspect that was in so many crashes.
+/// Returns the quota id of the permit for a suspect with this number of crashes.
 pub fn id(content: content::Key, crashes: u32) -> Id {
   Id::of_leave(content.0, crashes)
 }
 
-/// Names the place of suspects at a server.
-fn place(server: Life) -> Id {
-  Id::of_leave(u128::from_le_bytes(server.bytes()), PLACES)
+/// Returns the quota id of the permit to run a suspect on a server.
+fn server_permit_id(server: Life) -> Id {
+  Id::of_leave(u128::from_le_bytes(server.bytes()), SERVER_PERMIT)
 }
 
-/// No stage: after so many crashes nobody is a suspect.
-const PLACES: u32 = 0;
+/// Takes the place of the number of crashes; no suspect has 0 crashes.
+const SERVER_PERMIT: u32 = 0;
 
-/// The allowance of an id, where it names a leave.
+/// Returns the allowance of a permit; `None` if the id is not that of a permit.
 pub fn allowance(id: Id) -> Option<Allowance> {
-  id.is_leave().then_some(LEAVE)
+  id.is_leave().then_some(ALLOWANCE)
 }
 
-/// Whether a copy may go now.
+/// Result of acquiring a permit for a copy of a suspect.
 pub(crate) enum Permit {
   Granted,
-  /// The leave is asked for; it is looked at again at this time, ms.
+  /// Requested from the quota holder; to be checked again at this time, in ms.
   Requested(u64),
-  /// Another one has the leave.
+  /// Held by another copy or suspect.
   Taken,
 }
 
 impl State {
-  /// Takes the leave of a suspect for one of its copies.
+  /// Acquires the permit of a suspect for one of its copies.
   pub(crate) fn acquire_permit(&mut self, ticket: Ticket, crashes: u32) -> Permit {
     let request = self.requests.get(&ticket);
     let id = request.map(|request| id(request.ask.content, crashes));
-    self.take_leave(ticket, id.filter(|_| crashes as usize >= SUSPICIOUS))
+    self.acquire(ticket, id.filter(|_| crashes as usize >= SUSPECT_CRASHES))
   }
 
-  /// Takes the place of suspects at a server for a copy of one.
+  /// Acquires the permit to run a copy of a suspect on a server.
   pub(crate) fn acquire_server_permit(
     &mut self,
     ticket: Ticket,
     server: Life,
     crashes: u32,
   ) -> Permit {
-    // Without a holder a leave is had by chance, and two of them hardly ever.
-    let wanted = crashes as usize >= SUSPICIOUS && self.purse.answers(self.now);
-    self.take_leave(ticket, wanted.then(|| place(server)))
+    // Without a quota holder permits are granted at random, and a copy rarely gets two of them.
+    let required = crashes as usize >= SUSPECT_CRASHES && self.purse.answers(self.now);
+    self.acquire(ticket, required.then(|| server_permit_id(server)))
   }
 
-  /// Takes a leave, where one is wanted and the copy does not have it.
-  fn take_leave(&mut self, ticket: Ticket, id: Option<Id>) -> Permit {
+  /// Acquires a permit unless `id` is `None` or the copy already holds it.
+  fn acquire(&mut self, ticket: Ticket, id: Option<Id>) -> Permit {
     let now = self.now;
     let (Some(id), Some(request)) = (id, self.requests.get_mut(&ticket)) else {
       return Permit::Granted;
@@ -90,11 +90,11 @@
     if request.leaves.contains(&id) {
       return Permit::Granted;
     }
-    let asked = request.wants.filter(|(wanted, _)| *wanted == id);
-    let asked = asked.map(|(_, since)| since);
+    let requested = request.wants.filter(|(pending, _)| *pending == id);
+    let requested = requested.map(|(_, since)| since);
     match self
       .purse
-      .spend(now, (id, &LEAVE), 1, asked, self.instances)
+      .spend(now, (id, &ALLOWANCE), 1, requested, self.instances)
     {
       Spending::Spent => {
         request.leaves.push(id);
@@ -102,7 +102,7 @@
         Permit::Granted
       }
       Spending::Ask(until) => {
-        if asked.is_none() {
+        if requested.is_none() {
           request.wants = Some((id, now));
           self.out.push(Effect::Need);
         }
@@ -115,22 +115,23 @@
     }
   }
 
-  /// Gives the leaves of a copy back whose run has ended, or that goes nowhere; `end` of the run.
+  /// Releases the permits of a copy after its run has ended with `end`, or if it is not sent
+  /// anywhere (`None`). After a crash they are kept.
   pub(crate) fn release_permits(&mut self, ticket: Ticket, end: Option<End>) {
     let request = self.requests.get_mut(&ticket);
-    let leaves = request.map(|request| std::mem::take(&mut request.leaves));
-    let leaves = leaves.unwrap_or_default();
-    if end == Some(End::Crashed) || leaves.is_empty() {
+    let permits = request.map(|request| std::mem::take(&mut request.leaves));
+    let permits = permits.unwrap_or_default();
+    if end == Some(End::Crashed) || permits.is_empty() {
       return;
     }
-    for id in leaves {
+    for id in permits {
       self.purse.give_back(id, 1);
     }
     self.freed = true;
     self.out.push(Effect::Need);
   }
 
-  /// Whether leaves were given back since this was last asked: others wait for them.
+  /// Returns whether permits that other copies wait for were released since the last call.
   pub fn take_freed(&mut self) -> bool {
     std::mem::take(&mut self.freed)
   }
--- a/src/crash/registry.rs
+++ b/src/crash/registry.rs
@@ -1,88 +1,94 @@
-//! Who is to blame for crashes.
+//! Finds the requests that cause crashes.
 //!
-//! A crash ends every run of its server, and one of them brought it about. Most of the others
-//! are served at their next server; the one to blame is there at every crash. Crashes are
-//! explained by as few contents as can be, the heaviest first, anew with each crash that
-//! becomes known: whoever was blamed for crashes that another content explains better is
-//! released.
+//! A crash ends every run of its server, and one of them, the culprit, caused it. Most of the
+//! others, its companions, are served by their next server, while the culprit is present at
+//! every crash. The crashes are explained by as few contents as possible, the highest score
+//! first, and again with each newly reported crash. Contents that were blamed for crashes that
+//! another content explains better are released.
 
-use super::{Crash, LISTED, Quarantined, Suspected, filter::SUSPECT_MS};
+use super::{Crash, Quarantined, REPUBLISHED, Suspected, filter::SUSPECT_TTL_MS};
 use crate::{content, life::Life};
 use std::{
   cmp::Reverse,
   collections::{BTreeMap, BTreeSet},
 };
 
-/// Crashes after which a request is to blame: two may befall a request that only stands
-/// beside one, for a route mostly allows two sends.
-pub const CRASHES: usize = 3;
-/// Crashes after which a request is held for its turn.
-pub const SUSPICIOUS: usize = 2;
-/// Where two were in the same crashes, both are kept from servers after this time, ms: within
-/// it the one that is not to blame is mostly served. Half of the least time, 3 s, in which
-/// deployments want a request kept from servers.
-const TIED_MS: u64 = 1_500;
-/// Runs of a content counted at one crash: two contents differ by less.
-const RUNS: usize = 8;
-/// A crash counts for so long, ms: callers come again within seconds.
-const COUNTS_MS: u64 = 300_000;
-/// A request is kept from servers for so long, ms: an operator has mended its servers, or
-/// cares no longer, and a mistake has an end.
+/// Crashes after which a request is blamed. A request that only ran beside a culprit may be in
+/// two, because most routes allow two sends.
+pub const CULPRIT_CRASHES: usize = 3;
+/// Crashes after which a request waits for its turn.
+pub const SUSPECT_CRASHES: usize = 2;
+/// Two contents that were in the same crashes are both quarantined after this time: within it
+/// the innocent one is mostly served. Half of 3 s, the shortest time within which deployments
+/// require a quarantine.
+const TIE_TIMEOUT_MS: u64 = 1_500;
+/// Runs of a content that count at one crash. Two contents differ by fewer runs.
+const MAX_RUNS_PER_CRASH: usize = 8;
+/// Crashes are forgotten after this time: callers retry within seconds.
+const CRASH_TTL_MS: u64 = 300_000;
+/// Duration of a quarantine: by then an operator has fixed the servers or no longer cares, and
+/// a mistaken quarantine ends.
 const QUARANTINE_MS: u64 = 1_800_000;
-/// Contents remembered at the most, 200 bytes each: all runs of eighty servers that crash
-/// together. The ones least lately seen go first.
-const SUSPECTS: usize = 1_024;
-/// A verdict that is published thrice is over after this time, ms: what is released stays free.
-const RELEASED_MS: u64 = 2_000;
-/// Contents kept from servers at the most; the ones whose time ends first go first.
-const QUARANTINED: usize = 256;
-/// Runs that are ended by their own request differ by less in how far they came, ms: the
-/// requests seen so far ended their servers before their first event. Of 139 companions in two
-/// crashes or more on two days, 101 differed by more.
-pub const ALIKE_MS: u32 = 50;
-/// Most reports of one crash arrive within this time, ms: at six and seven instances those of
-/// 178 of 184 crashes did, the slowest took 40.
+/// About 200 bytes each; enough for all runs of 80 servers that crash together. The least
+/// recently seen suspects are evicted first.
+const MAX_SUSPECTS: usize = 1_024;
+/// A published quarantine does not apply to a content released less than this time ago: by then
+/// the three sends of an earlier quarantine are over.
+const RELEASE_HOLD_MS: u64 = 2_000;
+/// The quarantines that end first are evicted first.
+const MAX_QUARANTINED: usize = 256;
+/// Greatest difference in progress between the runs of a culprit: those seen so far crashed
+/// their servers before their first event. Of 139 companions that were in two or more crashes
+/// on two days, 101 differed by more.
+pub const SIMILAR_PROGRESS_MS: u32 = 50;
+/// Time in which most reports of a crash arrive. With six and seven instances those of 178 of
+/// 184 crashes did; the slowest took 40 ms.
 const SETTLE_MS: u64 = 20;
-/// An instance that is no judge knows its own crashes alone, and judges by them only where
-/// nothing was heard of judges for this long, ms.
-const LONE_MS: u64 = 1_000;
+/// An instance that is not an analyzer knows only its own crashes, and analyzes them only if
+/// the analyzers have published nothing for this long.
+const NON_ANALYZER_DELAY_MS: u64 = 1_000;
 
-/// What is known of a content whose runs ended in crashes.
+/// A content whose runs ended in crashes.
 #[derive(Clone, Debug, Default)]
 struct Suspect {
-  /// Runs at each server that crashed.
+  /// Runs by crashed server.
   servers: BTreeMap<Life, BTreeSet<u32>>,
-  /// How far its runs had come, least and most, ms.
+  /// Lowest and highest progress of its runs, in ms.
   progress: Option<(u32, u32)>,
-  /// When the last crash became known, ms.
-  seen: u64,
-  /// When there were enough to be to blame, ms.
-  enough: Option<u64>,
+  /// When the last crash was reported, in ms.
+  last_seen: u64,
+  /// When it reached `CULPRIT_CRASHES`, in ms.
+  culprit_since: Option<u64>,
 }
 
-/// How much speaks against a content: crashes first, then runs that came equally far, then
-/// runs.
-type Weight = (usize, bool, usize);
+/// Evidence against a content, in order of precedence: crashes, whether its runs had similar
+/// progress, and runs.
+type Score = (usize, bool, usize);
 
 impl Suspect {
-  /// Whether its runs came equally far before their servers ended.
-  fn alike(&self) -> bool {
-    self.spread() <= ALIKE_MS
+  /// Returns whether its runs had similar progress when their servers crashed.
+  fn has_similar_progress(&self) -> bool {
+    self.progress_spread_ms() <= SIMILAR_PROGRESS_MS
   }
 
-  fn spread(&self) -> u32 {
-    self.progress.map_or(0, |(least, most)| most - least)
+  fn progress_spread_ms(&self) -> u32 {
+    self
+      .progress
+      .map_or(0, |(lowest, highest)| highest - lowest)
   }
 
-  fn weight(&self, explained: &BTreeSet<Life>) -> Weight {
-    let open = self.servers.iter();
-    let open = open.filter(|(server, _)| !explained.contains(server));
-    open.fold((0, self.alike(), 0), |(crashes, alike, runs), (_, of)| {
-      (crashes + 1, alike, runs + of.len())
-    })
+  fn score(&self, explained: &BTreeSet<Life>) -> Score {
+    let unexplained = self.servers.iter();
+    let unexplained = unexplained.filter(|(server, _)| !explained.contains(server));
+    unexplained.fold(
+      (0, self.has_similar_progress(), 0),
+      |(crashes, similar_progress, runs), (_, server_runs)| {
+        (crashes + 1, similar_progress, runs + server_runs.len())
+      },
+    )
   }
 
-  fn shares(&self, other: &Self) -> bool {
+  fn shares_crash(&self, other: &Self) -> bool {
     self
       .servers
       .keys()
@@ -90,76 +96,82 @@
   }
 }
 
-/// A content found to blame, or released.
+/// A content found to cause crashes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Culprit {
   pub content: content::Key,
-  /// Crashes that nothing else explains, and its runs there.
+  /// Crashes that no other content explains, and its runs in them.
   pub crashes: usize,
   pub runs: usize,
 }
 
-/// Contents that explain the crashes.
+/// Contents that explain the crashes, as few as possible.
 #[derive(Debug, Default)]
 struct Cover {
-  blamed: Vec<Culprit>,
+  culprits: Vec<Culprit>,
   explained: BTreeSet<Life>,
-  /// Until when the heaviest contents are left alone because nothing tells them apart, ms.
+  /// Until when contents tied for the highest score are not blamed, in ms.
   tied_until: Option<u64>,
 }
 
 impl Cover {
-  fn blames(&self, content: &content::Key) -> bool {
-    self.blamed.iter().any(|one| one.content == *content)
+  fn is_culprit(&self, content: &content::Key) -> bool {
+    self
+      .culprits
+      .iter()
+      .any(|culprit| culprit.content == *content)
   }
 }
 
-/// Crashes, suspects and what is kept from servers, as one instance knows them.
+/// Crashes, suspects and quarantined contents known to an instance.
 #[derive(Clone, Debug, Default)]
 pub struct Registry {
   suspects: BTreeMap<content::Key, Suspect>,
-  /// Until when contents are kept from servers, ms.
+  /// End of the quarantine by content, in ms.
   quarantined: BTreeMap<content::Key, u64>,
-  /// When something new became known of crashes, ms, until it is judged.
-  unsettled: Option<u64>,
-  /// Until when contents that nothing tells apart are left alone, ms.
+  /// When the first crash since the last analysis was reported, in ms.
+  unanalyzed_since: Option<u64>,
+  /// Until when contents tied for the highest score are not blamed, in ms.
   tied_until: Option<u64>,
-  /// Contents that were released, and until when what others still publish against them does
-  /// not count, ms.
+  /// Released contents, and until when quarantines of them that other instances still publish
+  /// are ignored, in ms.
   released: BTreeMap<content::Key, u64>,
-  /// Suspects that were published, with their crashes.
+  /// Published suspects, with their number of crashes.
   published: BTreeMap<content::Key, usize>,
 }
 
 impl Registry {
-  /// Takes up crashes, some perhaps again.
+  /// Adds reported crashes; repeated reports change nothing but the time last seen.
   pub fn add(&mut self, now: u64, crashes: &[Crash]) {
     for crash in crashes {
       let suspect = self.suspects.entry(crash.content).or_default();
-      suspect.seen = now;
+      suspect.last_seen = now;
       let known = suspect.servers.len();
       let runs = suspect.servers.entry(crash.server).or_default();
-      if runs.len() < RUNS && runs.insert(crash.run) {
-        let (least, most) = suspect.progress.unwrap_or((u32::MAX, 0));
+      if runs.len() < MAX_RUNS_PER_CRASH && runs.insert(crash.run) {
+        let (lowest, highest) = suspect.progress.unwrap_or((u32::MAX, 0));
         let progress = crash.progress_ms;
-        suspect.progress = Some((least.min(progress), most.max(progress)));
+        suspect.progress = Some((lowest.min(progress), highest.max(progress)));
       }
       if suspect.servers.len() > known {
-        self.unsettled.get_or_insert(now);
+        self.unanalyzed_since.get_or_insert(now);
       }
-      if suspect.servers.len() >= CRASHES {
-        suspect.enough.get_or_insert(now);
+      if suspect.servers.len() >= CULPRIT_CRASHES {
+        suspect.culprit_since.get_or_insert(now);
       }
     }
-    self.forget(now);
+    self.evict_suspects(now);
   }
 
-  fn forget(&mut self, now: u64) {
+  fn evict_suspects(&mut self, now: u64) {
     self
       .suspects
-      .retain(|_, suspect| now < suspect.seen + COUNTS_MS);
-    while self.suspects.len() > SUSPECTS {
-      let oldest = self.suspects.iter().min_by_key(|(_, suspect)| suspect.seen);
+      .retain(|_, suspect| now < suspect.last_seen + CRASH_TTL_MS);
+    while self.suspects.len() > MAX_SUSPECTS {
+      let oldest = self
+        .suspects
+        .iter()
+        .min_by_key(|(_, suspect)| suspect.last_seen);
       let Some(oldest) = oldest.map(|(content, _)| *content) else {
         return;
       };
@@ -167,41 +179,42 @@
     }
   }
 
-  /// When what became known of crashes is to be judged here, ms: all instances report a crash
-  /// within some milliseconds, and a part of the reports blames a companion. `judge`: whether
-  /// crashes are reported to this instance; asked only once they are settled.
-  pub fn analysis_at(&self, now: u64, judge: impl FnOnce() -> bool) -> Option<u64> {
-    let settled = self.unsettled.map(|since| since + SETTLE_MS);
+  /// Returns when this instance has to analyze the reported crashes, in ms. All instances report a
+  /// crash within a few milliseconds, and an analysis of only some of the reports blames a
+  /// companion. `is_analyzer` returns whether crashes are reported to this instance; it is
+  /// called only once the reports have settled.
+  pub fn analysis_at(&self, now: u64, is_analyzer: impl FnOnce() -> bool) -> Option<u64> {
+    let settled = self.unanalyzed_since.map(|since| since + SETTLE_MS);
     let settled = settled.into_iter().chain(self.tied_until).min()?;
-    match now < settled || judge() {
+    match now < settled || is_analyzer() {
       true => Some(settled),
-      false => Some(settled + LONE_MS),
+      false => Some(settled + NON_ANALYZER_DELAY_MS),
     }
   }
 
-  /// Finds contents to blame; from now on they are kept from servers.
+  /// Finds contents that cause crashes and quarantines them; returns those newly quarantined.
   pub fn find_culprits(&mut self, now: u64) -> Vec<Culprit> {
-    self.unsettled = None;
+    self.unanalyzed_since = None;
     let cover = self.cover(now);
     self.tied_until = cover.tied_until;
     let mut found = Vec::new();
-    for sentence in cover.blamed {
-      let content = sentence.content;
+    for culprit in cover.culprits {
+      let content = culprit.content;
       self.released.remove(&content);
       let left_ms = QUARANTINE_MS as u32;
       if self.quarantine(now, Quarantined { content, left_ms }) {
-        found.push(sentence);
+        found.push(culprit);
       }
     }
     found
   }
 
-  /// Contents kept from servers that were at some of the crashes that a content to blame was
-  /// at, and at no other: companions that were blamed on less knowledge. They are released.
+  /// Releases and returns companions: quarantined contents that were in some of a culprit's
+  /// crashes and in no others, and were blamed while fewer crashes were known.
   pub fn release_companions(&mut self, now: u64) -> Vec<content::Key> {
     let cover = self.cover(now);
-    let kept = self.quarantined.keys();
-    let innocent = kept.filter(|content| self.accompanies(content, &cover));
+    let quarantined = self.quarantined.keys();
+    let innocent = quarantined.filter(|content| self.is_companion(content, &cover));
     let innocent: Vec<content::Key> = innocent.copied().collect();
     for content in &innocent {
       self.quarantine(
@@ -215,88 +228,90 @@
     innocent
   }
 
-  fn accompanies(&self, content: &content::Key, cover: &Cover) -> bool {
+  fn is_companion(&self, content: &content::Key, cover: &Cover) -> bool {
     let Some(suspect) = self.suspects.get(content) else {
       return false;
     };
-    let blamed = cover.blamed.iter();
-    let mut blamed = blamed.filter_map(|sentence| self.suspects.get(&sentence.content));
-    !cover.blames(content)
-      && blamed.any(|blamed| {
+    let culprits = cover.culprits.iter();
+    let mut culprits = culprits.filter_map(|culprit| self.suspects.get(&culprit.content));
+    !cover.is_culprit(content)
+      && culprits.any(|culprit| {
         let mut servers = suspect.servers.keys();
-        let within = servers.all(|server| blamed.servers.contains_key(server));
-        within && blamed.servers.len() > suspect.servers.len()
+        let within = servers.all(|server| culprit.servers.contains_key(server));
+        within && culprit.servers.len() > suspect.servers.len()
       })
   }
 
-  /// As few contents as explain the crashes, the heaviest first.
+  /// Explains the crashes by as few contents as possible, the highest score first.
   fn cover(&self, now: u64) -> Cover {
     let mut cover = Cover::default();
     loop {
-      let heaviest = self.heaviest(now, &mut cover);
-      if heaviest.is_empty() {
+      let highest_scored = self.highest_scored(now, &mut cover);
+      if highest_scored.is_empty() {
         return cover;
       }
-      for sentence in heaviest {
-        let servers = self.suspects[&sentence.content].servers.keys();
+      for culprit in highest_scored {
+        let servers = self.suspects[&culprit.content].servers.keys();
         cover.explained.extend(servers.copied());
-        cover.blamed.push(sentence);
+        cover.culprits.push(culprit);
       }
     }
   }
 
-  /// The content that most speaks against, where that is enough; all of them where several
-  /// were in the same crashes, and time has not told them apart.
-  fn heaviest(&self, now: u64, cover: &mut Cover) -> Vec<Culprit> {
+  /// Returns the content with the highest score if it has enough crashes, or all contents tied
+  /// for that score if they share a crash and the tie has lasted for `TIE_TIMEOUT_MS`.
+  fn highest_scored(&self, now: u64, cover: &mut Cover) -> Vec<Culprit> {
     let suspects = self.suspects.iter();
-    let weighed: Vec<(Weight, &content::Key, &Suspect)> = suspects
-      .filter(|(content, _)| !cover.blames(content))
-      .map(|(content, suspect)| (suspect.weight(&cover.explained), content, suspect))
-      .filter(|((crashes, ..), ..)| *crashes >= CRASHES)
+    let scored: Vec<(Score, &content::Key, &Suspect)> = suspects
+      .filter(|(content, _)| !cover.is_culprit(content))
+      .map(|(content, suspect)| (suspect.score(&cover.explained), content, suspect))
+      .filter(|((crashes, ..), ..)| *crashes >= CULPRIT_CRASHES)
       .collect();
-    let Some((most, _, first)) = weighed.iter().max_by_key(|(weight, ..)| *weight) else {
+    let Some((highest, _, first)) = scored.iter().max_by_key(|(score, ..)| *score) else {
       return Vec::new();
     };
-    let mut tied: Vec<Culprit> = weighed
+    let mut tied: Vec<Culprit> = scored
       .iter()
-      .filter(|(weight, _, suspect)| weight == most && first.shares(suspect))
+      .filter(|(score, _, suspect)| score == highest && first.shares_crash(suspect))
       .map(|((crashes, _, runs), content, _)| Culprit {
         content: **content,
         crashes: *crashes,
         runs: *runs,
       })
       .collect();
-    let kept = |sentence: &Culprit| self.quarantined.contains_key(&sentence.content);
-    if tied.iter().any(kept) {
-      // Another instance could tell them apart.
-      tied.retain(kept);
+    let is_quarantined = |culprit: &Culprit| self.quarantined.contains_key(&culprit.content);
+    if tied.iter().any(is_quarantined) {
+      // Another instance was able to break the tie.
+      tied.retain(is_quarantined);
       return tied;
     }
-    let since = first.enough.unwrap_or(now);
-    if tied.len() > 1 && now < since + TIED_MS {
-      cover.tied_until = Some(since + TIED_MS);
+    let since = first.culprit_since.unwrap_or(now);
+    if tied.len() > 1 && now < since + TIE_TIMEOUT_MS {
+      cover.tied_until = Some(since + TIE_TIMEOUT_MS);
       return Vec::new();
     }
     tied
   }
 
-  /// Contents in two crashes or more that nothing explains and that may be to blame, in the
-  /// order of their turns; none where they were published before.
+  /// Returns the contents in two or more unexplained crashes that may be to blame, in the order
+  /// of their turns; empty if all of them were published before.
   pub fn new_suspects(&mut self, now: u64) -> Vec<Suspected> {
-    let mut open = self.open(now);
-    open.sort_by_key(|(spread, content, crashes)| (Reverse(*crashes), *spread, *content));
+    let mut suspects = self.unexplained_suspects(now);
+    suspects.sort_by_key(|(progress_spread_ms, content, crashes)| {
+      (Reverse(*crashes), *progress_spread_ms, *content)
+    });
     let new = |entry: &(u32, content::Key, usize)| {
       let (_, content, crashes) = entry;
       self.published.get(content) != Some(crashes)
     };
-    if !open.iter().any(new) {
+    if !suspects.iter().any(new) {
       return Vec::new();
     }
-    let crashes = open
+    let crashes = suspects
       .iter()
       .map(|(_, content, crashes)| (*content, *crashes));
     self.published = crashes.collect();
-    let turns = open.into_iter().enumerate();
+    let turns = suspects.into_iter().enumerate();
     let turns = turns.map(|(turn, (_, content, crashes))| Suspected {
       content,
       crashes: crashes as u32,
@@ -305,42 +320,45 @@
     turns.collect()
   }
 
-  /// Contents in two crashes or more that nothing explains and that may be to blame: how much
-  /// their runs differ, ms, and their crashes.
-  fn open(&self, now: u64) -> Vec<(u32, content::Key, usize)> {
+  /// Returns the contents in two or more unexplained crashes that may be to blame, each as the
+  /// difference in progress of its runs in ms, the content and its number of crashes.
+  fn unexplained_suspects(&self, now: u64) -> Vec<(u32, content::Key, usize)> {
     let cover = self.cover(now);
     let suspects = self.suspects.iter();
     suspects
-      .filter(|(content, suspect)| suspect.alike() && !self.quarantined.contains_key(content))
+      .filter(|(content, suspect)| {
+        suspect.has_similar_progress() && !self.quarantined.contains_key(content)
+      })
       .map(|(content, suspect)| {
-        let (crashes, ..) = suspect.weight(&cover.explained);
-        (suspect.spread(), *content, crashes)
+        let (crashes, ..) = suspect.score(&cover.explained);
+        (suspect.progress_spread_ms(), *content, crashes)
       })
-      .filter(|(.., crashes)| *crashes >= SUSPICIOUS)
+      .filter(|(.., crashes)| *crashes >= SUSPECT_CRASHES)
       .collect()
   }
 
-  /// The same for instances that start and have heard of no crash, as long as the others
-  /// remember them.
+  /// Returns the suspects for instances that have just started and know of no crash, as long as
+  /// other instances remember these suspects.
   pub fn current_suspects(&self, now: u64) -> Vec<Suspected> {
-    let open = self.open(now).into_iter();
-    let lately = |content: &content::Key| now < self.suspects[content].seen + SUSPECT_MS;
-    open
-      .filter(|(_, content, _)| lately(content))
+    let suspects = self.unexplained_suspects(now).into_iter();
+    let is_recent =
+      |content: &content::Key| now < self.suspects[content].last_seen + SUSPECT_TTL_MS;
+    suspects
+      .filter(|(_, content, _)| is_recent(content))
       .map(|(_, content, crashes)| Suspected {
         content,
         crashes: crashes as u32,
-        turn: LISTED,
+        turn: REPUBLISHED,
       })
       .collect()
   }
 
-  /// Keeps a content from servers; whether that is new.
+  /// Quarantines or releases a content; returns whether anything changed.
   pub fn quarantine(&mut self, now: u64, entry: Quarantined) -> bool {
     self.quarantined.retain(|_, until| now < *until);
     let until = now + u64::from(entry.left_ms);
     if until <= now {
-      self.released.insert(entry.content, now + RELEASED_MS);
+      self.released.insert(entry.content, now + RELEASE_HOLD_MS);
       return self.quarantined.remove(&entry.content).is_some();
     }
     self.released.retain(|_, until| now < *until);
@@ -351,7 +369,7 @@
       return false;
     }
     self.quarantined.insert(entry.content, until);
-    if self.quarantined.len() > QUARANTINED {
+    if self.quarantined.len() > MAX_QUARANTINED {
       let first = self.quarantined.iter().min_by_key(|(_, until)| **until);
       if let Some(first) = first.map(|(content, _)| *content) {
         self.quarantined.remove(&first);
@@ -360,10 +378,10 @@
     true
   }
 
-  /// What is kept from servers.
+  /// Returns the quarantined contents.
   pub fn quarantined(&self, now: u64) -> Vec<Quarantined> {
-    let kept = self.quarantined.iter().filter(|(_, until)| now < **until);
-    kept
+    let quarantined = self.quarantined.iter().filter(|(_, until)| now < **until);
+    quarantined
       .map(|(content, until)| Quarantined {
         content: *content,
         left_ms: (until - now) as u32,
@@ -371,14 +389,14 @@
       .collect()
   }
 
-  /// Another instance that knows more has found who is to blame for what is known here.
+  /// Drops all suspects after an instance that knows more has explained the crashes known here.
   pub fn clear_suspects(&mut self) {
     self.suspects.clear();
-    self.unsettled = None;
+    self.unanalyzed_since = None;
     self.tied_until = None;
   }
 
-  /// Contents that crashes speak against, and contents kept from servers.
+  /// Returns the number of suspects and the number of quarantined contents.
   pub fn sizes(&self) -> (usize, usize) {
     (self.suspects.len(), self.quarantined.len())
   }
--- a/src/crash/repeated.rs
+++ b/src/crash/repeated.rs
@@ -1,10 +1,10 @@
-//! Datagrams that are sent some times over, for one may be lost.
+//! Entries of datagrams that are sent several times, because a datagram may be lost.
 
-/// When an entry is sent, ms after it was added: three in a thousand are lost to all three
-/// over a link that loses one in seven.
-const SENDS_MS: [u64; 3] = [0, 100, 400];
+/// Send times of an entry after it was added. On a link that loses one datagram in seven, three
+/// entries in a thousand are lost in all three sends.
+const SEND_DELAYS_MS: [u64; 3] = [0, 100, 400];
 
-/// Entries and their sends that are due.
+/// Entries that have sends left.
 #[derive(Clone, Debug)]
 pub struct Repeated<T> {
   entries: Vec<Entry<T>>,
@@ -13,7 +13,7 @@
 #[derive(Clone, Debug)]
 struct Entry<T> {
   value: T,
-  added: u64,
+  added_at: u64,
   sends: usize,
 }
 
@@ -26,32 +26,36 @@
 }
 
 impl<T: Copy> Repeated<T> {
-  /// Adds an entry; its first send is due.
+  /// Adds an entry, whose first send is due at once.
   pub fn add(&mut self, now: u64, value: T) {
     let entry = Entry {
       value,
-      added: now,
+      added_at: now,
       sends: 0,
     };
     self.entries.push(entry);
   }
 
-  /// When the next send is due, ms.
+  /// Returns when the next send is due, in ms.
   pub fn due(&self) -> Option<u64> {
     let due = self.entries.iter();
-    due.map(|entry| entry.added + SENDS_MS[entry.sends]).min()
+    due
+      .map(|entry| entry.added_at + SEND_DELAYS_MS[entry.sends])
+      .min()
   }
 
-  /// What is to be sent now.
+  /// Returns the entries to send now.
   pub fn take(&mut self, now: u64) -> Vec<T> {
     let mut taken = Vec::new();
     for entry in &mut self.entries {
-      if entry.added + SENDS_MS[entry.sends] <= now {
+      if entry.added_at + SEND_DELAYS_MS[entry.sends] <= now {
         taken.push(entry.value);
         entry.sends += 1;
       }
     }
-    self.entries.retain(|entry| entry.sends < SENDS_MS.len());
+    self
+      .entries
+      .retain(|entry| entry.sends < SEND_DELAYS_MS.len());
     taken
   }
 }
--- a/src/crash/stored.rs
+++ b/src/crash/stored.rs
@@ -1,8 +1,8 @@
-//! What is kept from servers, in the store: it outlasts a loss of power of all instances, after
-//! which each server would be crashed anew.
+//! The quarantine in the store. It outlasts a power loss of all instances, after which each
+//! server would otherwise be crashed again.
 //!
-//! Each instance reads it once, at its start; the holder writes it when a request is added: a
-//! call an instance's life, and one a request that crashes servers.
+//! Each instance reads it once at its start, and the lease holder writes it when a request is
+//! added: one call per instance start, and one per request that crashes servers.
 
 use super::Quarantined;
 use crate::{
@@ -13,61 +13,61 @@
 use serde_json::Value;
 use std::collections::BTreeSet;
 
-/// Name of the object.
+/// Name of the object in the store.
 pub const NAME: &str = "main";
-/// A call that failed is made again after this time, ms: 295 instances that start while the
-/// store is down call it beside all else that they need of it.
-const AGAIN_MS: u64 = 2_000;
+/// Pause before a failed call is retried. While the store is down, 295 starting instances make
+/// this call in addition to their other calls.
+const RETRY_MS: u64 = 2_000;
 
-/// The object's content.
+/// Content of the object.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Record {
   pub entries: Vec<Entry>,
 }
 
-/// A request that goes to no server.
+/// A request that must not be sent to any server.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Entry {
-  /// The content's key, as logs name it.
+  /// Key of the content, as written in logs.
   pub content: String,
-  /// Until when, Unix ms.
+  /// End of the quarantine, in ms since the Unix epoch.
   pub until_ms: u64,
 }
 
-/// A call of the store.
+/// A call to the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Call {
   Read,
-  /// Writes a record over the one of a revision; number 0: there is none.
+  /// Replaces the record of this revision; its number is 0 if there is no record.
   Write {
     record: Record,
     revision: Revision,
   },
 }
 
-/// The first read that failed is made again after this time, ms: until it has come an instance
-/// takes no callers.
-const FIRST_AGAIN_MS: u64 = 250;
+/// Pause before a failed call is retried until the first read has succeeded: before that an
+/// instance accepts no callers.
+const FIRST_READ_RETRY_MS: u64 = 250;
 
-/// What an instance knows of the stored record.
+/// An instance's view of the stored record.
 #[derive(Clone, Debug, Default)]
 pub struct Stored {
-  /// Revision of the record as it was read or written; none: it is to be read.
+  /// Revision of the record as last read or written; `None` if it has to be read.
   revision: Option<Revision>,
-  /// Contents that it holds.
+  /// Contents in the record.
   contents: BTreeSet<content::Key>,
-  calling: bool,
-  again_at: u64,
-  /// It was read once.
+  in_flight: bool,
+  retry_at: u64,
+  /// Whether the record was read at least once.
   read: bool,
-  /// It is read because the store came back from a copy.
-  again: bool,
+  /// The store was restored from an older copy, so the record is read again.
+  restored: bool,
 }
 
 impl Record {
-  /// The record of what is kept from servers at a time, Unix ms.
+  /// Returns the record of what is quarantined at `unix_ms`.
   fn of(entries: &[Quarantined], unix_ms: u64) -> Self {
     let entries = entries.iter().map(|entry| Entry {
       content: entry.content.to_string(),
@@ -78,7 +78,7 @@
     }
   }
 
-  /// What it keeps from servers at a time, Unix ms; entries that name no content are left out.
+  /// Returns what is quarantined at `unix_ms`; entries without a valid content key are skipped.
   pub fn quarantined(&self, unix_ms: u64) -> Vec<Quarantined> {
     let entries = self.entries.iter();
     let entries = entries.filter_map(|entry| {
@@ -94,7 +94,7 @@
 }
 
 impl Stored {
-  /// The next call, where one is due; `holding`: this instance writes for all.
+  /// Returns the next call if one is due. `holding`: whether this instance writes for all.
   pub fn call(
     &mut self,
     now: u64,
@@ -102,7 +102,7 @@
     holding: bool,
     entries: &[Quarantined],
   ) -> Option<Call> {
-    if self.calling || now < self.again_at {
+    if self.in_flight || now < self.retry_at {
       return None;
     }
     let new = |entry: &Quarantined| !self.contents.contains(&entry.content);
@@ -114,26 +114,26 @@
       },
       Some(_) => return None,
     };
-    self.calling = true;
+    self.in_flight = true;
     Some(call)
   }
 
-  /// The store is in an era: what was written in an earlier one may be lost.
+  /// Sets the era of the store; what was written in an earlier era may be lost.
   pub fn set_era(&mut self, era: u64) {
     if self.revision.is_some_and(|revision| revision.era < era) {
       self.revision = None;
-      self.again = true;
+      self.restored = true;
     }
   }
 
-  /// Whether the record was read: before that nothing says what is kept from servers.
+  /// Returns whether the record was read; until then the quarantine is unknown.
   pub fn is_read(&self) -> bool {
     self.read
   }
 
-  /// Takes up what became of a call; a record that was read.
+  /// Handles the result of a call; returns the record that was read, if it is to be applied.
   pub fn answered(&mut self, now: u64, call: &Call, result: Result<Object>) -> Option<Record> {
-    self.calling = false;
+    self.in_flight = false;
     self.read |= matches!(
       (call, &result),
       (Call::Read, Ok(_) | Err(Error::Absent { .. }))
@@ -145,13 +145,13 @@
         None
       }
       (Call::Read, Ok(object)) => {
-        let again = std::mem::take(&mut self.again);
+        let restored = std::mem::take(&mut self.restored);
         self.revision = Some(object.revision);
-        // One that another writer spoilt keeps nothing from servers, and is written anew.
+        // A record corrupted by another writer quarantines nothing and is written again.
         let record: Record = serde_json::from_value(object.spec).unwrap_or_default();
         self.contents = contents(&record);
-        // A copy is older than what is known here: what was released since stays so.
-        (!again).then_some(record)
+        // An older copy lacks recent releases: contents released since then must stay released.
+        (!restored).then_some(record)
       }
       (Call::Write { record, .. }, Ok(object)) => {
         self.revision = Some(object.revision);
@@ -159,9 +159,14 @@
         None
       }
       (_, Err(_)) => {
-        // A write may have been done, or be done yet.
+        // A write may have taken effect, or may still do so.
         self.revision = None;
-        self.again_at = now + if self.read { AGAIN_MS } else { FIRST_AGAIN_MS };
+        self.retry_at = now
+          + if self.read {
+            RETRY_MS
+          } else {
+            FIRST_READ_RETRY_MS
+          };
         None
       }
     }
@@ -173,7 +178,7 @@
   all.iter().map(|entry| entry.content).collect()
 }
 
-/// The record as it stands in the store.
+/// Encodes a record as it is stored.
 pub fn encode(record: &Record) -> std::result::Result<Value, Error> {
   serde_json::to_value(record).map_err(|error| Error::Malformed(error.to_string()))
 }
