--- a/src/quarantine.rs
+++ b/src/quarantine.rs
@@ -1,10 +1,10 @@
-//! How crashes and what follows from them reach all instances.
+//! Reports crashes and publishes suspects and quarantined requests to all instances.
 //!
-//! Each instance reports the runs that crashes ended to the holders and to two judges beside
-//! them, for a holder may be lost at that moment; whoever finds a request to blame publishes
-//! that at once, and holders publish all that is kept from servers now and then, for instances
-//! that start. So a fleet with many crashes sends three datagrams each, not one to
-//! each instance.
+//! Each instance reports the runs that ended in crashes to the analyzers: the lease holders and
+//! two other instances, because a holder may be lost at that moment. An analyzer publishes a
+//! culprit as soon as it finds one, and holders regularly publish the whole quarantine for
+//! instances that have just started. So a fleet with many crashes sends three datagrams for
+//! each of them, not one to each instance.
 
 use crate::{
   content,
@@ -22,13 +22,13 @@
 };
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Instances besides the holders that crashes are reported to.
-const JUDGES: usize = 2;
-/// Entries of one datagram: 40 bytes each.
-const ENTRIES: usize = 100;
+/// Instances besides the lease holders to which crashes are reported.
+const EXTRA_ANALYZERS: usize = 2;
+/// Entries per datagram, 40 bytes each.
+const MAX_ENTRIES: usize = 100;
 
 impl Planner {
-  /// Reports crashes, finds who is to blame and publishes it.
+  /// Reports crashes, analyzes them if due, and publishes the results.
   pub(crate) fn process_crashes(&mut self) {
     let now = self.hub.now();
     let crashes = self.hub.state().take_crashes();
@@ -36,71 +36,71 @@
     for crash in crashes {
       self.reported_crashes.add(now, crash);
     }
-    self.judge(now);
+    self.analyze_crashes(now);
     let due = self.reported_crashes.take(now);
     if !due.is_empty() {
-      let judges = self.judges(now);
-      for part in due.chunks(ENTRIES) {
-        self.send(&Message::Crashes(part.to_vec()), &judges);
+      let other_analyzers = self.other_analyzers(now);
+      for entries in due.chunks(MAX_ENTRIES) {
+        self.send(&Message::Crashes(entries.to_vec()), &other_analyzers);
       }
     }
     let due = self.published_quarantine.take(now);
     if !due.is_empty() {
-      let others = self.others(now);
-      for part in due.chunks(ENTRIES) {
-        self.spread(&Message::Quarantine(part.to_vec()), &others);
+      let other_instances = self.other_instances(now);
+      for entries in due.chunks(MAX_ENTRIES) {
+        self.spread(&Message::Quarantine(entries.to_vec()), &other_instances);
       }
     }
   }
 
-  /// When this instance judges what became known of crashes, ms.
+  /// Returns when this instance has to analyze the reported crashes, in ms.
   pub(crate) fn analysis_at(&self, now: u64) -> Option<u64> {
-    self.registry.analysis_at(now, || self.is_judge(now))
+    self.registry.analysis_at(now, || self.is_analyzer(now))
   }
 
-  /// Judges once all reports of a crash are there, and publishes what follows.
-  fn judge(&mut self, now: u64) {
+  /// Analyzes crashes once their reports have settled, and publishes the results.
+  fn analyze_crashes(&mut self, now: u64) {
     if self.analysis_at(now).is_none_or(|at| now < at) {
       return;
     }
-    let found = self.registry.find_culprits(now);
-    if !found.is_empty() {
-      self.blame(now, &found);
+    let culprits = self.registry.find_culprits(now);
+    if !culprits.is_empty() {
+      self.publish_quarantine(now, &culprits);
     }
     let innocent = self.registry.release_companions(now);
     if !innocent.is_empty() {
-      self.release(now, &innocent);
+      self.publish_release(now, &innocent);
     }
-    let suspected = self.registry.new_suspects(now);
-    if !suspected.is_empty() {
-      self.suspect(now, suspected);
+    let suspects = self.registry.new_suspects(now);
+    if !suspects.is_empty() {
+      self.publish_suspects(now, suspects);
     }
   }
 
-  /// Publishes requests that may be to blame, with their turns, at once: the next crash comes
-  /// within some hundred milliseconds, and one that is not heard costs a wait.
-  fn suspect(&mut self, now: u64, suspected: Vec<Suspected>) {
-    for entry in &suspected {
+  /// Publishes suspects and their turns immediately and without repeats: the next crash follows
+  /// within a few hundred milliseconds, and a lost datagram only costs a delay.
+  fn publish_suspects(&mut self, now: u64, suspects: Vec<Suspected>) {
+    for entry in &suspects {
       info!(self.hub.log, "request suspected"; "content" => entry.content.to_string(),
         "crashes" => entry.crashes, "turn" => entry.turn);
     }
-    let others = self.others(now);
-    for part in suspected.chunks(ENTRIES) {
-      self.spread(&Message::Suspects(part.to_vec()), &others);
+    let other_instances = self.other_instances(now);
+    for entries in suspects.chunks(MAX_ENTRIES) {
+      self.spread(&Message::Suspects(entries.to_vec()), &other_instances);
     }
-    self.hub.apply(Event::Suspected(suspected), None);
+    self.hub.apply(Event::Suspected(suspects), None);
   }
 
-  /// Publishes suspects again, for instances that start: one that knows of none sends copies of
-  /// them as it likes.
+  /// Publishes suspects again for instances that have just started: an instance that knows of
+  /// none sends copies of them without limit.
   pub(crate) fn republish_suspects(&mut self, now: u64, to: &[SocketAddr]) {
-    for part in self.registry.current_suspects(now).chunks(ENTRIES) {
-      self.spread(&Message::Suspects(part.to_vec()), to);
+    for entries in self.registry.current_suspects(now).chunks(MAX_ENTRIES) {
+      self.spread(&Message::Suspects(entries.to_vec()), to);
     }
   }
 
-  /// Publishes that requests were blamed for what others explain.
-  fn release(&mut self, now: u64, innocent: &[content::Key]) {
+  /// Publishes the release of requests that were blamed for crashes that other requests explain.
+  fn publish_release(&mut self, now: u64, innocent: &[content::Key]) {
     let entries = innocent.iter().map(|content| Quarantined {
       content: *content,
       left_ms: 0,
@@ -108,19 +108,23 @@
     let entries: Vec<Quarantined> = entries.collect();
     for entry in &entries {
       info!(self.hub.log, "request released"; "content" => entry.content.to_string(),
-        "why" => "another one explains its crashes");
+        "why" => "another request explains its crashes");
       self.published_quarantine.add(now, *entry);
     }
     self.enforce(entries);
   }
 
-  fn blame(&mut self, now: u64, found: &[Culprit]) {
-    for sentence in found {
-      info!(self.hub.log, "request quarantined"; "content" => sentence.content.to_string(),
-        "crashes" => sentence.crashes, "runs" => sentence.runs, "by" => "crashes known here");
+  fn publish_quarantine(&mut self, now: u64, culprits: &[Culprit]) {
+    for culprit in culprits {
+      info!(self.hub.log, "request quarantined"; "content" => culprit.content.to_string(),
+        "crashes" => culprit.crashes, "runs" => culprit.runs, "by" => "local crash analysis");
     }
     let all = self.registry.quarantined(now);
-    let is_new = |entry: &&Quarantined| found.iter().any(|one| one.content == entry.content);
+    let is_new = |entry: &&Quarantined| {
+      culprits
+        .iter()
+        .any(|culprit| culprit.content == entry.content)
+    };
     let new: Vec<Quarantined> = all.iter().filter(is_new).copied().collect();
     for entry in &new {
       self.published_quarantine.add(now, *entry);
@@ -128,21 +132,21 @@
     self.enforce(new);
   }
 
-  /// Takes up crashes that another instance reports.
+  /// Adds crashes reported by another instance.
   pub(crate) fn receive_crashes(&mut self, now: u64, crashes: &[Crash]) {
     self.registry.add(now, crashes);
   }
 
-  /// Takes up what another instance keeps from servers.
+  /// Applies quarantines and releases published by another instance.
   pub(crate) fn receive_quarantine(&mut self, now: u64, entries: &[Quarantined], from: SocketAddr) {
     let mut new = Vec::new();
     for entry in entries {
       if self.registry.quarantine(now, *entry) {
-        let what = match entry.left_ms {
+        let message = match entry.left_ms {
           0 => "request released",
           _ => "request quarantined",
         };
-        info!(self.hub.log, "{}", what; "content" => entry.content.to_string(),
+        info!(self.hub.log, "{}", message; "content" => entry.content.to_string(),
           "left_ms" => entry.left_ms, "by" => %from);
         new.push(*entry);
       }
@@ -150,14 +154,14 @@
     if new.is_empty() {
       return;
     }
-    if !self.is_judge(now) {
+    if !self.is_analyzer(now) {
       self.registry.clear_suspects();
     }
     self.enforce(new);
   }
 
-  /// Reads what was kept from servers before this instance started; writes what has come,
-  /// where it holds a lease.
+  /// Reads the stored quarantine if it was not read yet; writes new entries if this instance
+  /// holds a lease.
   pub(crate) fn sync_quarantine(&mut self) {
     let now = self.hub.now();
     let holding = self.groups.first().is_some_and(|group| group.holding);
@@ -174,7 +178,7 @@
     }
   }
 
-  /// Takes up what became of such a call.
+  /// Handles the result of a call that reads or writes the stored quarantine.
   pub(crate) fn finish_quarantine_call(
     &mut self,
     now: u64,
@@ -184,7 +188,7 @@
     if let Err(error) = &result
       && !matches!(error, store::Error::Absent { .. })
     {
-      info!(self.hub.log, "quarantine not read or written"; "error" => %error);
+      info!(self.hub.log, "failed to read or write the stored quarantine"; "error" => %error);
     }
     let record = self.stored_quarantine.answered(now, call, result);
     if self.stored_quarantine.is_read() {
@@ -211,21 +215,22 @@
     self.hub.apply(Event::Quarantined(entries), None);
   }
 
-  /// All other instances known here.
-  fn others(&self, now: u64) -> Vec<SocketAddr> {
+  /// Returns all other known instances.
+  fn other_instances(&self, now: u64) -> Vec<SocketAddr> {
     let groups = 0..self.groups.len();
-    let others: BTreeSet<SocketAddr> = groups
+    let other_instances: BTreeSet<SocketAddr> = groups
       .flat_map(|index| self.addresses(now, index))
       .collect();
-    others.into_iter().collect()
+    other_instances.into_iter().collect()
   }
 
-  /// Who finds out whom crashes are due to: two that all choose alike, and the holders.
-  fn all_judges(&self, now: u64) -> Vec<SocketAddr> {
-    let mut members = self.others(now);
+  /// Returns the instances that analyze crashes: the lease holders, and two instances selected by
+  /// hash so that all instances select the same ones.
+  fn analyzers(&self, now: u64) -> Vec<SocketAddr> {
+    let mut members = self.other_instances(now);
     members.push(self.own);
     members.sort_by_key(|address| xxh3_64(address.to_string().as_bytes()));
-    members.truncate(JUDGES);
+    members.truncate(EXTRA_ANALYZERS);
     let holders = self.groups.iter().filter_map(|group| group.lease.holder());
     for holder in holders {
       if !members.contains(&holder) {
@@ -235,15 +240,15 @@
     members
   }
 
-  fn is_judge(&self, now: u64) -> bool {
-    self.groups.iter().any(|group| group.holding) || self.all_judges(now).contains(&self.own)
+  fn is_analyzer(&self, now: u64) -> bool {
+    self.groups.iter().any(|group| group.holding) || self.analyzers(now).contains(&self.own)
   }
 
-  /// The judges besides this instance.
-  fn judges(&self, now: u64) -> Vec<SocketAddr> {
-    let mut judges = self.all_judges(now);
-    judges.retain(|judge| *judge != self.own);
-    judges
+  /// Returns the analyzers other than this instance.
+  fn other_analyzers(&self, now: u64) -> Vec<SocketAddr> {
+    let mut other_analyzers = self.analyzers(now);
+    other_analyzers.retain(|analyzer| *analyzer != self.own);
+    other_analyzers
   }
 }
 
--- a/src/strain.rs
+++ b/src/strain.rs
@@ -1,87 +1,86 @@
-//! How slow servers are for the models that they hold, as requests find them: the part
-//! of their objective that passes between a send and the first byte of its answer.
+//! How slow servers are for the models that they hold, as measured by requests: the part of
+//! their latency objective that passes between a send and the first byte of its answer.
 
 use crate::{ask::Ticket, dispatch::State};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Time over which what was seen counts by half as much, ms: some ten requests at one a
-/// hundred milliseconds.
-const HALF_MS: f64 = 1_000.0;
-/// What a request counts that its server declined because it was full.
-const FULL: f64 = 1.0;
-/// A model that so many requests should have come for since the last one, and none did, is not
-/// asked for any more: by chance that happens once in 20,000 times.
-const OVERDUE: f64 = 10.0;
-/// But not before this time, ms: some reports of its instances.
-const SILENT_LEAST_MS: u64 = 1_000;
-/// What one request counts at the most: a stalled one says little of the others.
-const MOST: f64 = 4.0;
+/// Half-life of samples; it spans about ten requests at one per 100 ms.
+const HALF_LIFE_MS: f64 = 1_000.0;
+/// Slowness of a request that its server declined because it was full.
+const FULL_SLOWNESS: f64 = 1.0;
+/// A model is idle if this many requests were expected since the last one and none arrived. By
+/// chance this happens once in 20,000 times.
+const IDLE_MISSED_REQUESTS: f64 = 10.0;
+/// A model is not idle before this time, in which several reports of its instances arrive.
+const MIN_IDLE_MS: u64 = 1_000;
+/// Highest slowness of one request: a stalled request says little about the others.
+const MAX_SLOWNESS: f64 = 4.0;
 
-/// Requests of a model that were answered or declined, and their slowness.
+/// Requests for a model that were answered or declined, and their slowness.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Strain {
   pub requests: f64,
-  /// Sum of the parts of their objectives.
+  /// Sum over the requests, each as a part of its latency objective.
   pub slowness: f64,
-  /// The same, each times the servers at which the model was in use then.
+  /// The same sum, each part multiplied by the number of servers that used the model then.
   pub load: f64,
-  /// When this was last brought up to date, ms.
+  /// When the sums were last updated, in ms.
   at: u64,
 }
 
 impl Strain {
-  /// What was seen fades.
-  fn fade(&mut self, now: u64) {
+  /// Reduces the weight of past samples by the elapsed time.
+  fn decay(&mut self, now: u64) {
     let elapsed = now.saturating_sub(self.at) as f64;
-    let rest = 0.5f64.powf(elapsed / HALF_MS);
-    self.requests *= rest;
-    self.slowness *= rest;
-    self.load *= rest;
+    let factor = 0.5f64.powf(elapsed / HALF_LIFE_MS);
+    self.requests *= factor;
+    self.slowness *= factor;
+    self.load *= factor;
     self.at = now;
   }
 
-  /// Adds what an instance saw since its last report.
+  /// Adds the samples of one report of an instance.
   pub fn add(&mut self, now: u64, requests: f64, slowness: f64, servers: usize) {
-    self.fade(now);
+    self.decay(now);
     self.requests += requests;
     self.slowness += slowness;
     self.load += slowness * servers as f64;
   }
 
-  /// Servers that requests would fill, if each answered as slowly as their objectives allow;
-  /// none where too few were seen to say. It stays as it is when servers come, which the mean
-  /// of what was seen before they came does not.
+  /// Returns how many servers the requests would fill if each server answered as slowly as the
+  /// objectives allow, or `None` after too few requests. Unlike the mean slowness, this figure
+  /// does not change when servers are added.
   pub fn servers_needed(&self, now: u64) -> Option<f64> {
-    let mut faded = *self;
-    faded.fade(now);
-    (faded.requests >= 1.0).then(|| faded.load / faded.requests)
+    let mut decayed = *self;
+    decayed.decay(now);
+    (decayed.requests >= 1.0).then(|| decayed.load / decayed.requests)
   }
 
-  /// Requests a second, lately.
+  /// Returns the recent rate of requests per second.
   pub fn rate(&self, now: u64) -> f64 {
-    let mut faded = *self;
-    faded.fade(now);
-    faded.requests * std::f64::consts::LN_2 * 1_000.0 / HALF_MS
+    let mut decayed = *self;
+    decayed.decay(now);
+    decayed.requests * std::f64::consts::LN_2 * 1_000.0 / HALF_LIFE_MS
   }
 
-  /// Whether requests have stopped coming.
+  /// Returns whether requests have stopped arriving.
   pub fn is_idle(&self, now: u64) -> bool {
     let elapsed = now.saturating_sub(self.at);
     let expected = self.rate(self.at) * elapsed as f64 / 1_000.0;
-    elapsed >= SILENT_LEAST_MS && expected > OVERDUE
+    elapsed >= MIN_IDLE_MS && expected > IDLE_MISSED_REQUESTS
   }
 
-  /// The mean part of their objectives that requests spend at servers before an answer;
-  /// none where too few were seen to say.
+  /// Returns the mean part of their objectives for which requests wait at servers for an answer,
+  /// or `None` after too few requests.
   pub fn mean(&self, now: u64) -> Option<f64> {
-    let mut faded = *self;
-    faded.fade(now);
-    (faded.requests >= 1.0).then(|| faded.slowness / faded.requests)
+    let mut decayed = *self;
+    decayed.decay(now);
+    (decayed.requests >= 1.0).then(|| decayed.slowness / decayed.requests)
   }
 }
 
-/// What an instance saw of a model since its last report.
+/// Requests for a model since the last report of an instance, and the sum of their slowness.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Sample {
   pub pool: String,
@@ -90,27 +89,27 @@
   pub slowness: f32,
 }
 
-/// What was seen by pool and model.
+/// Number of requests and sum of their slowness, by pool and model.
 pub(crate) type Totals = BTreeMap<(String, String), (f32, f32)>;
 
 impl State {
-  /// The answer of a send has begun.
+  /// Records that the answer of a send has begun.
   pub(crate) fn record_answer_start(&mut self, ticket: Ticket) {
     let Some(request) = self.requests.get_mut(&ticket) else {
       return;
     };
     request.began = true;
     let objective_ms = request.ask.route.objective_ms.max(1) as f64;
-    let part = self.now.saturating_sub(request.sent) as f64 / objective_ms;
-    self.saw(ticket, part.min(MOST));
+    let part_of_objective = self.now.saturating_sub(request.sent) as f64 / objective_ms;
+    self.record_slowness(ticket, part_of_objective.min(MAX_SLOWNESS));
   }
 
-  /// A send was declined by a full server.
+  /// Records that a full server declined a send.
   pub(crate) fn record_declined(&mut self, ticket: Ticket) {
-    self.saw(ticket, FULL);
+    self.record_slowness(ticket, FULL_SLOWNESS);
   }
 
-  fn saw(&mut self, ticket: Ticket, part: f64) {
+  fn record_slowness(&mut self, ticket: Ticket, part_of_objective: f64) {
     let Some(ask) = self.requests.get(&ticket).map(|request| &request.ask) else {
       return;
     };
@@ -120,13 +119,13 @@
     let key = (ask.pool.clone(), model.name.clone());
     let (requests, slowness) = self.strain.entry(key).or_default();
     *requests += 1.0;
-    *slowness += part as f32;
+    *slowness += part_of_objective as f32;
   }
 
-  /// What was seen since this was last asked, for the planner.
+  /// Returns the samples since the last call, for the planner.
   pub fn take_strain(&mut self) -> Vec<Sample> {
-    let book = std::mem::take(&mut self.strain);
-    book
+    let totals = std::mem::take(&mut self.strain);
+    totals
       .into_iter()
       .map(|((pool, model), (requests, slowness))| Sample {
         pool,
