--- a/src/backend.rs
+++ b/src/backend.rs
@@ -1,53 +1,54 @@
-//! Backend servers: what they say of themselves, and what is known from use.
+//! Backend servers: what they state about themselves, and what is learned from using them.
 
 use crate::{life::Life, report::Tier};
 use std::{collections::BTreeMap, net::SocketAddr};
 
-/// Time for which a server is believed not to hold what it said it lacked, ms: a load that was
-/// taken as done too early ends within some ten; and its doublings where it says so again.
+/// Time for which a model is considered missing after its server has reported that it lacks it:
+/// a load that was considered done too early ends within about 10 ms. Doubled with each further
+/// report, up to `MISSING_DOUBLINGS` times.
 const MISSING_MS: u64 = 100;
 const MISSING_DOUBLINGS: u32 = 5;
-/// Then it is forgotten, ms.
-const MISSING_FORGOTTEN_MS: u64 = 5_000;
+/// A missing model is forgotten this long after it is no longer considered missing.
+const MISSING_TTL_MS: u64 = 5_000;
 
 slotmap::new_key_type! {
   /// Identifies a backend server within one instance.
   pub struct Key;
 }
 
-/// Whether new work may go to a backend server.
+/// Whether a backend server accepts new work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stage {
   Ready,
-  /// It leaves: no new work.
+  /// The server is leaving and gets no new work.
   Draining,
 }
 
-/// What a backend server states of itself.
+/// What a backend server states about itself.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Spec {
   pub id: String,
-  /// When the server started, Unix ms; 0: it does not say.
+  /// When the server started, in ms since the Unix epoch; 0 if unknown.
   pub born: u64,
   pub pool: String,
   pub address: SocketAddr,
   pub zone: String,
   pub slots: u32,
   pub stage: Stage,
-  /// Models held, each with its adapters.
+  /// Models that the server holds, each with its adapters.
   pub models: BTreeMap<String, Vec<String>>,
-  /// Checkpoints with a copy in the server's memory or on its disk.
+  /// Checkpoints of which the server has a copy in memory or on disk.
   pub in_memory: Vec<String>,
   pub on_disk: Vec<String>,
 }
 
 impl Spec {
-  /// The life in which the server stated this.
+  /// Returns the life of the server that stated this.
   pub fn life(&self) -> Life {
     Life::of(&self.id, self.born)
   }
 
-  /// The nearest copy of a model's checkpoint.
+  /// Returns where the nearest copy of a model's checkpoint is.
   pub fn tier(&self, model: &str) -> Tier {
     let among = |names: &[String]| names.iter().any(|name| name == model);
     match () {
@@ -58,47 +59,47 @@
   }
 }
 
-/// The holdings of a server as the planner last knew them; newer than what the
-/// server itself has stated.
+/// Models held by a server as last published by the planner; newer than what the server itself
+/// has stated.
 #[derive(Clone, Debug, Default, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Holding {
   pub id: String,
-  /// When the server that holds this started, Unix ms; 0: it does not say.
+  /// When the server that holds this started, in ms since the Unix epoch; 0 if unknown.
   pub born: u64,
   pub models: BTreeMap<String, Vec<String>>,
-  /// Models about to be unloaded: no new work.
+  /// Models about to be unloaded, which get no new work.
   pub leaving: Vec<String>,
-  /// The model that is being loaded.
+  /// Model that is being loaded.
   pub coming: Option<String>,
 }
 
 impl Holding {
-  /// The life of the server that holds this.
+  /// Returns the life of the server that holds this.
   pub fn life(&self) -> Life {
     Life::of(&self.id, self.born)
   }
 }
 
-/// A load under way, as far as it was published.
+/// A load in progress, as published.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Loading {
   pub model: String,
   pub tier: Tier,
-  /// When it was first published, ms.
+  /// When it was first published, in ms.
   pub since: u64,
 }
 
-/// A server's id, short enough to be sent often.
+/// Returns a short hash of a server's id, for messages that are sent often.
 pub fn short_hash(id: &str) -> u32 {
   xxhash_rust::xxh3::xxh3_64(id.as_bytes()) as u32
 }
 
-/// A model that a server was found not to hold, against what was published.
+/// A model that a server reported missing, contrary to what was published.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Missing {
-  /// Until when that is believed, ms.
+  /// Until when the model is considered missing, in ms.
   pub until: u64,
-  /// How often in a row it was found so.
+  /// Number of consecutive reports.
   pub times: u32,
 }
 
@@ -106,34 +107,34 @@
 #[derive(Clone, Debug)]
 pub struct Backend {
   pub spec: Spec,
-  /// When the server's own statement was last heard, ms.
+  /// When the server's own statement was last received, in ms.
   pub spec_received_at: u64,
   pub holding: Option<Holding>,
-  /// Requests of all instances there, as published.
+  /// Requests of all instances on the server, as published.
   pub load: u32,
-  /// This instance's requests there, now and when the others' were last published.
+  /// This instance's requests on the server, now and when `load` was last published.
   pub running: u32,
   pub running_at_publish: u32,
-  /// Failures in a row.
+  /// Consecutive failures.
   pub failures: u32,
-  /// Gets nothing before this time, ms.
+  /// Gets no requests before this time, in ms.
   pub avoid_until: u64,
-  /// Models it was found not to hold.
+  /// Models that the server was found not to hold.
   pub missing: BTreeMap<String, Missing>,
-  /// Its entry is missing since then, ms; it may come back.
+  /// Since when the server's entry is missing, in ms; the entry may return.
   pub missing_since: Option<u64>,
-  /// It said that it leaves.
+  /// The server has announced that it is leaving.
   pub leaving: bool,
-  /// Its entry may be that of an older copy of the store until then, ms.
+  /// Until this time, in ms, the server's entry may come from an older copy of the store.
   pub unconfirmed_until: u64,
-  /// Another server answered at its address. Not the stage that it stated: a holder that took
-  /// its own finding for that would not publish the statement when it comes.
+  /// Another server answered at its address. Kept apart from the stage in `spec`: a holder that
+  /// stored its own finding there would not publish the server's statement when it arrives.
   pub replaced: bool,
   pub loading: Option<Loading>,
 }
 
 impl Backend {
-  /// A server not used so far.
+  /// Creates a server that was not used so far.
   pub fn new(spec: Spec, now: u64) -> Self {
     Self {
       spec,
@@ -153,31 +154,33 @@
     }
   }
 
-  /// Takes up the planner's word on what is held.
+  /// Applies the models held by the server as published by the planner.
   pub fn update(&mut self, holding: Holding, now: u64) {
-    let same = |loading: &Loading| Some(&loading.model) == holding.coming.as_ref();
-    if !self.loading.as_ref().is_some_and(same) {
+    let is_same_model = |loading: &Loading| Some(&loading.model) == holding.coming.as_ref();
+    if !self.loading.as_ref().is_some_and(is_same_model) {
       self.loading = holding.coming.as_ref().map(|model| Loading {
         model: model.clone(),
         tier: self.spec.tier(model),
         since: now,
       });
     }
-    // What has come since it was found missing is there now.
+    // A missing model or adapter that was published as loaded since then is no longer missing.
     let held = |name: &str, models: &BTreeMap<String, Vec<String>>| {
       let (model, adapter) = name.split_once('/').unwrap_or((name, ""));
       let adapters = models.get(model);
-      adapters.is_some_and(|known| adapter.is_empty() || known.iter().any(|one| one == adapter))
+      adapters.is_some_and(|known| {
+        adapter.is_empty() || known.iter().any(|adapter_name| adapter_name == adapter)
+      })
     };
     let before = self.holding.as_ref().map(|holding| &holding.models);
     self.missing.retain(|name, missing| {
-      let came = !before.is_some_and(|models| held(name, models)) && held(name, &holding.models);
-      !came && now < missing.until + MISSING_FORGOTTEN_MS
+      let arrived = !before.is_some_and(|models| held(name, models)) && held(name, &holding.models);
+      !arrived && now < missing.until + MISSING_TTL_MS
     });
     self.holding = Some(holding);
   }
 
-  /// A model was found not to be there; whether that is new.
+  /// Records that the server lacks a model or adapter; returns whether that is new.
   pub fn mark_missing(&mut self, name: String, now: u64) -> bool {
     let missing = self
       .missing
@@ -188,26 +191,27 @@
     missing.times == 1
   }
 
-  /// Whether a request for a model, and an adapter of it, can run there. The
-  /// planner's word counts before `until`, ms, and after it until the server says
-  /// otherwise: without a planner nothing changes.
+  /// Returns whether a request for a model, and an adapter of it, can run on the server. What
+  /// the planner published counts unless the server's own statement was received at or after
+  /// `until`, in ms: without a planner nothing changes.
   pub fn holds(&self, model: &str, adapter: Option<&str>, until: u64, now: u64) -> bool {
-    let word = self
+    let publication = self
       .holding
       .as_ref()
       .filter(|_| self.spec_received_at < until);
-    let models = word.map_or(&self.spec.models, |holding| &holding.models);
-    let leaves = word.is_some_and(|holding| holding.leaving.iter().any(|name| name == model));
+    let models = publication.map_or(&self.spec.models, |holding| &holding.models);
+    let is_leaving =
+      publication.is_some_and(|holding| holding.leaving.iter().any(|name| name == model));
     let found = models.get(model).is_some_and(|adapters| match adapter {
       Some(adapter) => adapters.iter().any(|name| name == adapter),
       None => true,
     });
-    found && !leaves && !self.misses(model, adapter, now)
+    found && !is_leaving && !self.is_missing(model, adapter, now)
   }
 
-  /// Whether a model was lately found not to be there. Each request looks at all servers, and
-  /// few miss anything.
-  fn misses(&self, model: &str, adapter: Option<&str>, now: u64) -> bool {
+  /// Returns whether a model was recently found missing. Each request checks all servers, and
+  /// few of them have missing models, so the empty case returns early.
+  fn is_missing(&self, model: &str, adapter: Option<&str>, now: u64) -> bool {
     if self.missing.is_empty() {
       return false;
     }
@@ -215,20 +219,21 @@
     missing.is_some_and(|missing| now < missing.until)
   }
 
-  /// Requests of all instances there, as far as known: what was published, and since then
-  /// what this instance added, as likely for each of the others.
+  /// Estimates the requests of all instances on the server: the published number plus what this
+  /// instance has added since, which is as likely for each of the others.
   pub fn estimated_load(&self, instances: usize) -> u32 {
     let added = i64::from(self.running) - i64::from(self.running_at_publish);
     let load = i64::from(self.load) + added * (instances as i64).min(1);
     u32::try_from(load).unwrap_or_default().max(self.running)
   }
 
-  /// Whether it leaves, as its entry states, as it said or as was found.
+  /// Returns whether the server is leaving, according to its entry, its own announcement or
+  /// because it was replaced.
   pub fn is_leaving(&self) -> bool {
     self.leaving || self.replaced || self.spec.stage == Stage::Draining
   }
 
-  /// What it stated, but for its stage, which is as found.
+  /// Returns the server's spec with the stage that this instance has found.
   pub fn effective_spec(&self) -> Spec {
     let stage = match self.is_leaving() {
       true => Stage::Draining,
@@ -240,13 +245,13 @@
     }
   }
 
-  /// Whether new work may go there.
+  /// Returns whether the server may get new work.
   pub fn is_usable(&self, now: u64) -> bool {
     !self.is_leaving() && now >= self.avoid_until && now >= self.unconfirmed_until
   }
 }
 
-/// The name under which a missing model or adapter is remembered.
+/// Returns the key of a missing model or adapter in `Backend::missing`.
 pub fn missing_name(model: &str, adapter: Option<&str>) -> String {
   match adapter {
     Some(adapter) => format!("{model}/{adapter}"),
@@ -254,7 +259,7 @@
   }
 }
 
-/// The group of servers, of so many, that a server belongs to.
+/// Returns which of `groups` groups of servers a server belongs to.
 pub fn group(id: &str, groups: u32) -> u32 {
   short_hash(id) % groups.max(1)
 }
--- a/src/clock.rs
+++ b/src/clock.rs
@@ -1,9 +1,9 @@
-//! The clock by which all is measured that must not outlive the world: leases, ages of what is
-//! known, deadlines, windows, connections at rest.
+//! The clock for everything that must also expire while the machine is suspended: leases, ages
+//! of data, deadlines, windows and idle connections.
 //!
-//! It counts the time for which the machine was suspended, which `std::time::Instant` leaves
-//! out: an instance that wakes would take a lapsed lease for its own, and an old view for a
-//! fresh one.
+//! It counts the time for which the machine was suspended, which `std::time::Instant` does not:
+//! an instance that resumes would take an expired lease for its own, and stale data for fresh
+//! data.
 
 use rustix::time::{ClockId, clock_gettime};
 use std::{
@@ -12,35 +12,36 @@
   time::{Duration, Instant},
 };
 
-/// The clocks differ by less than this while a machine runs: they are read one after the other.
-const TOGETHER: Duration = Duration::from_millis(500);
+/// The two clocks are read one after the other, and differ by less than this while the machine
+/// runs.
+const MAX_CLOCK_SKEW: Duration = Duration::from_millis(500);
 
-/// Time added to the clock by tests, ns.
-static SKIPPED: AtomicU64 = AtomicU64::new(0);
+/// Time added to the clock by tests.
+static SKIPPED_NS: AtomicU64 = AtomicU64::new(0);
 
-/// A moment of this machine's life, by the time since its start.
+/// A point in time, as the time since the machine was booted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Moment(Duration);
 
 impl Moment {
-  /// The moment that is now.
+  /// Returns the current time.
   pub fn now() -> Self {
     let time = clock_gettime(ClockId::Boottime);
     let since = Duration::new(time.tv_sec as u64, time.tv_nsec as u32);
-    Self(since + Duration::from_nanos(SKIPPED.load(Ordering::Relaxed)))
+    Self(since + Duration::from_nanos(SKIPPED_NS.load(Ordering::Relaxed)))
   }
 
-  /// Time since this moment; none for one to come.
+  /// Returns the time since this moment; zero if it is in the future.
   pub fn elapsed(self) -> Duration {
     Self::now().saturating_duration_since(self)
   }
 
-  /// Time since an earlier moment; none since a later one.
+  /// Returns the time since an earlier moment; zero if `earlier` is later.
   pub fn saturating_duration_since(self, earlier: Self) -> Duration {
     self.0.saturating_sub(earlier.0)
   }
 
-  /// The moment before this one by some time, where the machine ran then.
+  /// Returns the moment `time` before this one, or `None` if that is before the boot.
   pub fn checked_sub(self, time: Duration) -> Option<Self> {
     self.0.checked_sub(time).map(Self)
   }
@@ -62,32 +63,32 @@
   }
 }
 
-/// Notices that the machine was suspended: the steady clock stood still then.
+/// Detects that the machine was suspended: the clock of `Instant` does not advance then.
 #[derive(Debug)]
 pub struct Suspension {
-  steady: Instant,
+  monotonic: Instant,
   moment: Moment,
 }
 
 impl Suspension {
-  /// Begins to watch.
+  /// Starts to watch for suspensions.
   pub fn start() -> Self {
     Self {
-      steady: Instant::now(),
+      monotonic: Instant::now(),
       moment: Moment::now(),
     }
   }
 
-  /// For how long the machine was suspended since this was last asked.
+  /// Returns for how long the machine was suspended since the last call, or `None` if it was not.
   pub fn take(&mut self) -> Option<Duration> {
-    let before = std::mem::replace(self, Self::start());
-    let ran = self.steady - before.steady;
-    let away = (self.moment - before.moment).saturating_sub(ran);
-    (away > TOGETHER).then_some(away)
+    let previous = std::mem::replace(self, Self::start());
+    let awake = self.monotonic - previous.monotonic;
+    let suspended = (self.moment - previous.moment).saturating_sub(awake);
+    (suspended > MAX_CLOCK_SKEW).then_some(suspended)
   }
 }
 
-/// For tests: moves the clock of this process on, as though its machine had been suspended.
+/// For tests: advances the clock of this process as if the machine had been suspended.
 pub fn skip(time: Duration) {
-  SKIPPED.fetch_add(time.as_nanos() as u64, Ordering::Relaxed);
+  SKIPPED_NS.fetch_add(time.as_nanos() as u64, Ordering::Relaxed);
 }
--- a/src/content.rs
+++ b/src/content.rs
@@ -1,21 +1,21 @@
-//! What a request asks for, whatever id it carries: callers send the same thing again under
-//! new ids, to any instance.
+//! Identifies the content of a request regardless of its id: callers send the same content again
+//! under new ids, to any instance.
 
 use crate::http::Request;
 use serde::{Deserialize, Serialize};
 use std::fmt::{self, Display, Formatter};
 use xxhash_rust::xxh3::{Xxh3, xxh3_64_with_seed};
 
-/// Names the content of requests: a hash of method, host, target and body.
+/// Identifies the content of requests: a hash of method, host, target and body.
 ///
-/// Of a million contents in use, two share a key with a probability of 2 in 10^27.
+/// Among a million contents in use, two share a key with a probability of 2 in 10^27.
 #[derive(
   Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
 pub struct Key(pub u128);
 
 impl Key {
-  /// The key of a request in whole.
+  /// Returns the key of a request with its complete body.
   pub fn of(head: &Request, body: &[u8]) -> Self {
     let host = head.headers.get("host").unwrap_or_default();
     let host = host.to_ascii_lowercase();
@@ -25,7 +25,7 @@
       host.as_bytes(),
       head.target.as_bytes(),
     ] {
-      // Lengths keep the parts apart.
+      // The lengths separate the parts unambiguously.
       hash.update(&(part.len() as u64).to_le_bytes());
       hash.update(part);
     }
@@ -33,9 +33,9 @@
     Self(hash.digest128())
   }
 
-  /// A number drawn from the key, another one for each turn.
-  pub fn seeded_hash(self, turn: u32) -> u64 {
-    xxh3_64_with_seed(&self.0.to_le_bytes(), turn.into())
+  /// Returns a hash of the key that differs for each seed.
+  pub fn seeded_hash(self, seed: u32) -> u64 {
+    xxh3_64_with_seed(&self.0.to_le_bytes(), seed.into())
   }
 }
 
--- a/src/pool.rs
+++ b/src/pool.rs
@@ -1,5 +1,5 @@
-//! Threads that run closures in order of arrival: as many as there is work for, up to a
-//! bound, and none at rest.
+//! A thread pool that runs closures in order of arrival. Threads are started as needed up to a
+//! limit, and all but one end after a while without work.
 
 use std::{
   collections::VecDeque,
@@ -10,17 +10,17 @@
 
 type Task = Box<dyn FnOnce() + Send>;
 
-/// Stack of a pool's thread, bytes.
-const STACK: usize = 256 << 10;
-/// A thread without work ends after this time: an instance that gives no orders keeps none,
-/// and one that does starts few anew.
-const REST: Duration = Duration::from_secs(5);
+/// Stack size of a pool thread.
+const STACK_BYTES: usize = 256 << 10;
+/// An idle thread ends after this time: an instance that sends no orders keeps only one, and one
+/// that does rarely starts new ones.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 
 #[derive(Default)]
 struct State {
   tasks: VecDeque<Task>,
   threads: usize,
-  resting: usize,
+  idle: usize,
   /// The pool was dropped.
   closed: bool,
 }
@@ -37,20 +37,21 @@
   }
 }
 
-/// A pool of threads; ends when dropped, after what was given to it.
+/// A pool of threads. After it is dropped, the closures passed to it still run, and its threads
+/// end.
 pub struct Pool {
   name: String,
-  most: usize,
+  max_threads: usize,
   shared: Arc<Shared>,
 }
 
 impl Pool {
-  /// Opens a pool of at most `most` threads, and starts the first: where not even one can
-  /// be had, nothing would ever be run.
-  pub fn spawn(name: &str, most: usize) -> std::io::Result<Self> {
+  /// Creates a pool of at most `max_threads` threads and starts the first one. Fails if it cannot
+  /// be started, because then no closure would ever run.
+  pub fn spawn(name: &str, max_threads: usize) -> std::io::Result<Self> {
     let pool = Self {
       name: name.into(),
-      most: most.max(1),
+      max_threads: max_threads.max(1),
       shared: Arc::default(),
     };
     pool.start()?;
@@ -61,10 +62,10 @@
   pub fn run(&self, task: impl FnOnce() + Send + 'static) {
     let mut state = self.shared.lock();
     state.tasks.push_back(Box::new(task));
-    let more = state.tasks.len() > state.resting && state.threads < self.most;
+    let needs_thread = state.tasks.len() > state.idle && state.threads < self.max_threads;
     drop(state);
-    if more {
-      // Without a further thread the others do its work, only later.
+    if needs_thread {
+      // If no further thread can be started, the existing ones run the closure later.
       let _ = self.start();
     }
     self.shared.changed.notify_one();
@@ -75,8 +76,8 @@
     let shared = self.shared.clone();
     let builder = thread::Builder::new()
       .name(self.name.clone())
-      .stack_size(STACK);
-    let started = builder.spawn(move || work(&shared));
+      .stack_size(STACK_BYTES);
+    let started = builder.spawn(move || run_tasks(&shared));
     if started.is_err() {
       self.shared.lock().threads -= 1;
     }
@@ -91,7 +92,7 @@
   }
 }
 
-fn work(shared: &Shared) {
+fn run_tasks(shared: &Shared) {
   let mut state = shared.lock();
   loop {
     if let Some(task) = state.tasks.pop_front() {
@@ -100,16 +101,16 @@
       state = shared.lock();
       continue;
     }
-    // The last thread stays.
+    // Except after the pool was dropped, the last thread keeps running.
     if state.closed {
       state.threads -= 1;
       return;
     }
-    state.resting += 1;
-    let waited = shared.changed.wait_timeout(state, REST);
-    let (back, timeout) = waited.unwrap_or_else(PoisonError::into_inner);
-    state = back;
-    state.resting -= 1;
+    state.idle += 1;
+    let waited = shared.changed.wait_timeout(state, IDLE_TIMEOUT);
+    let (guard, timeout) = waited.unwrap_or_else(PoisonError::into_inner);
+    state = guard;
+    state.idle -= 1;
     if timeout.timed_out() && state.tasks.is_empty() && state.threads > 1 {
       state.threads -= 1;
       return;
