--- a/src/crash/permit.rs
+++ b/src/crash/permit.rs
@@ -132,7 +132,7 @@
   }
 
   /// Returns whether permits that other copies wait for were released since the last call.
-  pub fn take_freed(&mut self) -> bool {
+  pub fn take_permits_released(&mut self) -> bool {
     std::mem::take(&mut self.freed)
   }
 }
--- a/src/quotas.rs
+++ b/src/quotas.rs
@@ -70,7 +70,7 @@
     }
     let (uses, ask_at, limited, freed) = {
       let mut state = self.hub.state();
-      let freed = state.take_freed();
+      let freed = state.take_permits_released();
       let keyed = state.deployment.as_ref();
       let keyed = keyed.is_some_and(|deployment| deployment.customers.is_some());
       let limited = state.limits.any();
