--- a/src/crash/filter.rs
+++ b/src/crash/filter.rs
@@ -68,7 +68,7 @@
 pub struct Filter {
   /// Runs that ended in a crash and are not reported yet.
   crashes: Vec<Crash>,
-  /// End of the quarantine by content, in ms.
+  /// When the quarantine of each content ends, in ms.
   quarantined: HashMap<content::Key, u64>,
   suspects: HashMap<content::Key, Suspect>,
 }
--- a/src/crash/permit.rs
+++ b/src/crash/permit.rs
@@ -116,7 +116,7 @@
   }
 
   /// Releases the permits of a copy after its run has ended with `end`, or if it is not sent
-  /// anywhere (`None`). After a crash they are kept.
+  /// anywhere (`None`). After a crash they are not released.
   pub(crate) fn release_permits(&mut self, ticket: Ticket, end: Option<End>) {
     let request = self.requests.get_mut(&ticket);
     let permits = request.map(|request| std::mem::take(&mut request.leaves));
--- a/src/crash/registry.rs
+++ b/src/crash/registry.rs
@@ -26,14 +26,14 @@
 const MAX_RUNS_PER_CRASH: usize = 8;
 /// Crashes are forgotten after this time: callers retry within seconds.
 const CRASH_TTL_MS: u64 = 300_000;
-/// Duration of a quarantine: by then an operator has fixed the servers or no longer cares, and
-/// a mistaken quarantine ends.
+/// Duration of a quarantine: by then an operator has fixed the servers or no longer needs it,
+/// and a mistaken quarantine ends.
 const QUARANTINE_MS: u64 = 1_800_000;
 /// About 200 bytes each; enough for all runs of 80 servers that crash together. The least
 /// recently seen suspects are evicted first.
 const MAX_SUSPECTS: usize = 1_024;
-/// A published quarantine does not apply to a content released less than this time ago: by then
-/// the three sends of an earlier quarantine are over.
+/// After the release of a content, published quarantines of it are ignored for this long: the
+/// three sends of an earlier quarantine are over by then.
 const RELEASE_HOLD_MS: u64 = 2_000;
 /// The quarantines that end first are evicted first.
 const MAX_QUARANTINED: usize = 256;
@@ -127,7 +127,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Registry {
   suspects: BTreeMap<content::Key, Suspect>,
-  /// End of the quarantine by content, in ms.
+  /// When the quarantine of each content ends, in ms.
   quarantined: BTreeMap<content::Key, u64>,
   /// When the first crash since the last analysis was reported, in ms.
   unanalyzed_since: Option<u64>,
@@ -141,7 +141,7 @@
 }
 
 impl Registry {
-  /// Adds reported crashes; repeated reports change nothing but the time last seen.
+  /// Adds reported crashes; a crash may be reported several times.
   pub fn add(&mut self, now: u64, crashes: &[Crash]) {
     for crash in crashes {
       let suspect = self.suspects.entry(crash.content).or_default();
--- a/src/crash/stored.rs
+++ b/src/crash/stored.rs
@@ -94,7 +94,7 @@
 }
 
 impl Stored {
-  /// Returns the next call if one is due. `holding`: whether this instance writes for all.
+  /// Returns the next call if one is due. `holding` is whether this instance writes the record.
   pub fn call(
     &mut self,
     now: u64,
