--- a/src/backend.rs
+++ b/src/backend.rs
@@ -50,10 +50,10 @@
 
   /// Returns where the nearest copy of a model's checkpoint is.
   pub fn tier(&self, model: &str) -> Tier {
-    let among = |names: &[String]| names.iter().any(|name| name == model);
+    let contains_model = |names: &[String]| names.iter().any(|name| name == model);
     match () {
-      () if among(&self.in_memory) => Tier::Memory,
-      () if among(&self.on_disk) => Tier::Disk,
+      () if contains_model(&self.in_memory) => Tier::Memory,
+      () if contains_model(&self.on_disk) => Tier::Disk,
       () => Tier::Remote,
     }
   }
--- a/src/cold.rs
+++ b/src/cold.rs
@@ -59,19 +59,19 @@
 /// Returns when a waiting request is given up, in ms: before its caller leaves. Callers count
 /// from the last event if any has arrived.
 pub(crate) fn give_up_at(request: &Request) -> u64 {
-  let ask = &request.ask;
+  let descriptor = &request.ask;
   let since = match request.began {
     true => request.broke,
     false => request.arrived,
   };
-  let patience = ask.until.saturating_sub(since);
-  let route = &ask.route;
-  let silence = route.stream.map_or(u64::MAX, |stream| {
+  let patience = descriptor.until.saturating_sub(since);
+  let route = &descriptor.route;
+  let stream_patience = route.stream.map_or(u64::MAX, |stream| {
     STREAM_PATIENCE_MS
       .max(route.objective_ms * STREAM_OBJECTIVES)
       .max(stream.gap_ms * STREAM_GAPS)
   });
-  since + patience.min(silence) * PATIENCE_PERCENT / 100
+  since + patience.min(stream_patience) * PATIENCE_PERCENT / 100
 }
 
 /// Returns how much time a waiting request has left.
@@ -109,16 +109,16 @@
     backends.filter(move |backend| backend.spec.pool == pool && !backend.is_leaving())
   }
 
-  /// Returns when a request's model is expected to be ready on one of the servers that `open`
-  /// accepts and that do not hold it, in ms.
-  fn ready_at(&self, request: &Request, open: impl Fn(&&Backend) -> bool) -> Option<u64> {
-    let ask = &request.ask;
-    let model = ask.model.as_ref()?;
-    let engine = self.engine(&ask.pool)?;
+  /// Returns when a request's model is expected to be ready on one of the eligible servers, which
+  /// do not hold it yet, in ms.
+  fn ready_at(&self, request: &Request, is_eligible: impl Fn(&&Backend) -> bool) -> Option<u64> {
+    let descriptor = &request.ask;
+    let model = descriptor.model.as_ref()?;
+    let engine = self.engine(&descriptor.pool)?;
     let checkpoint = engine.models.get(&model.name)?;
     let loading = self
-      .accepting_backends(&ask.pool)
-      .filter(&open)
+      .accepting_backends(&descriptor.pool)
+      .filter(&is_eligible)
       .filter_map(|backend| backend.loading.as_ref())
       .filter(|loading| loading.model == model.name)
       .map(|loading| loading.since + LOAD_START_MS + Size::of(checkpoint).load_ms(loading.tier))
@@ -127,8 +127,8 @@
       Some(ready) => ready,
       None => {
         let tiers = self
-          .accepting_backends(&ask.pool)
-          .filter(&open)
+          .accepting_backends(&descriptor.pool)
+          .filter(&is_eligible)
           .map(|backend| backend.spec.tier(&model.name));
         let load = Size::of(checkpoint).load_ms(tiers.min()?);
         let no_planner = self.now > self.current_until();
@@ -142,15 +142,15 @@
   /// Returns when a model is expected to be ready on a server that has announced no limit and
   /// does not hold it yet, in ms, or `None` if there is no such server.
   pub(crate) fn ready_elsewhere(&self, request: &Request) -> Option<u64> {
-    let ask = &request.ask;
-    let model = ask.model.as_ref()?;
+    let descriptor = &request.ask;
+    let model = descriptor.model.as_ref()?;
     let until = self.current_until();
-    let open = |backend: &&Backend| {
+    let is_eligible = |backend: &&Backend| {
       !self.in_need(backend)
         && !self.rests(backend)
         && !backend.holds(&model.name, None, until, self.now)
     };
-    self.ready_at(request, open)
+    self.ready_at(request, is_eligible)
   }
 
   /// Returns when this instance first reported demand for a request's model, in ms.
@@ -163,24 +163,24 @@
   }
 
   /// Records the demand of a caller that is refused while its model is loaded.
-  pub(crate) fn add_deferral(&mut self, ask: &Ask, retry_after: u64) {
-    let Some(model) = ask.model.clone() else {
+  pub(crate) fn add_deferral(&mut self, descriptor: &Ask, retry_after: u64) {
+    let Some(model) = descriptor.model.clone() else {
       return;
     };
     let now = self.now;
     self.wants.retain(|_, deferral| now < deferral.until);
     let deferral = self
       .wants
-      .entry((ask.pool.clone(), model))
+      .entry((descriptor.pool.clone(), model))
       .or_insert(Deferral {
         since: now,
         until: 0,
         callers: 0,
-        priority: ask.priority(),
+        priority: descriptor.priority(),
       });
     deferral.until = deferral.until.max(now + retry_after + DEMAND_GRACE_MS);
     deferral.callers += 1;
-    deferral.priority = deferral.priority.min(ask.priority());
+    deferral.priority = deferral.priority.min(descriptor.priority());
   }
 
   /// Adds the demand of callers that were refused with a Retry-After.
--- a/src/crash/registry.rs
+++ b/src/crash/registry.rs
@@ -146,14 +146,14 @@
     for crash in crashes {
       let suspect = self.suspects.entry(crash.content).or_default();
       suspect.last_seen = now;
-      let known = suspect.servers.len();
+      let known_servers = suspect.servers.len();
       let runs = suspect.servers.entry(crash.server).or_default();
       if runs.len() < MAX_RUNS_PER_CRASH && runs.insert(crash.run) {
         let (lowest, highest) = suspect.progress.unwrap_or((u32::MAX, 0));
         let progress = crash.progress_ms;
         suspect.progress = Some((lowest.min(progress), highest.max(progress)));
       }
-      if suspect.servers.len() > known {
+      if suspect.servers.len() > known_servers {
         self.unanalyzed_since.get_or_insert(now);
       }
       if suspect.servers.len() >= CULPRIT_CRASHES {
@@ -237,8 +237,8 @@
     !cover.is_culprit(content)
       && culprits.any(|culprit| {
         let mut servers = suspect.servers.keys();
-        let within = servers.all(|server| culprit.servers.contains_key(server));
-        within && culprit.servers.len() > suspect.servers.len()
+        let is_subset = servers.all(|server| culprit.servers.contains_key(server));
+        is_subset && culprit.servers.len() > suspect.servers.len()
       })
   }
 
@@ -300,11 +300,11 @@
     suspects.sort_by_key(|(progress_spread_ms, content, crashes)| {
       (Reverse(*crashes), *progress_spread_ms, *content)
     });
-    let new = |entry: &(u32, content::Key, usize)| {
+    let is_new = |entry: &(u32, content::Key, usize)| {
       let (_, content, crashes) = entry;
       self.published.get(content) != Some(crashes)
     };
-    if !suspects.iter().any(new) {
+    if !suspects.iter().any(is_new) {
       return Vec::new();
     }
     let crashes = suspects
--- a/src/crash/stored.rs
+++ b/src/crash/stored.rs
@@ -105,10 +105,10 @@
     if self.in_flight || now < self.retry_at {
       return None;
     }
-    let new = |entry: &Quarantined| !self.contents.contains(&entry.content);
+    let is_new = |entry: &Quarantined| !self.contents.contains(&entry.content);
     let call = match self.revision {
       None => Call::Read,
-      Some(revision) if holding && entries.iter().any(new) => Call::Write {
+      Some(revision) if holding && entries.iter().any(is_new) => Call::Write {
         record: Record::of(entries, unix_ms),
         revision,
       },
--- a/src/strain.rs
+++ b/src/strain.rs
@@ -110,13 +110,13 @@
   }
 
   fn record_slowness(&mut self, ticket: Ticket, part_of_objective: f64) {
-    let Some(ask) = self.requests.get(&ticket).map(|request| &request.ask) else {
+    let Some(descriptor) = self.requests.get(&ticket).map(|request| &request.ask) else {
       return;
     };
-    let Some(model) = &ask.model else {
+    let Some(model) = &descriptor.model else {
       return;
     };
-    let key = (ask.pool.clone(), model.name.clone());
+    let key = (descriptor.pool.clone(), model.name.clone());
     let (requests, slowness) = self.strain.entry(key).or_default();
     *requests += 1.0;
     *slowness += part_of_objective as f32;
