--- a/src/admit.rs
+++ b/src/admit.rs
@@ -1,13 +1,13 @@
 //! Admission, queueing and dispatch of requests.
 
 use crate::{
-  ask::{Ask, Class, Ticket, Work},
   attempt::{Attempt, End},
   effect::Effect,
   group::{self, moving_average},
   journal::Entry,
   refusal::{Reason, Refusal},
   replica::{Id, Target},
+  request::{Ask, Class, Ticket, Work},
   server,
   settings::Dispatch,
   state::{Request, State},
--- a/src/attempt.rs
+++ b/src/attempt.rs
@@ -1,6 +1,6 @@
 //! One attempt to serve a request on a backend server.
 
-use crate::{ask::Ticket, replica, verdict::Verdict};
+use crate::{replica, request::Ticket, verdict::Verdict};
 
 /// Where an attempt goes.
 #[derive(Clone, Debug, PartialEq, Eq)]
--- a/src/batches.rs
+++ b/src/batches.rs
@@ -5,13 +5,13 @@
 //! an owner is lost: an item keeps its first recorded outcome.
 
 use crate::{
-  ask::{Class, Ticket},
   batch::{Batch, Change, Item},
   effect::Effect,
   event::Tag,
   fact::{Body, Key, Version},
   group,
   object::{Kind, Name},
+  request::{Class, Ticket},
   state::State,
   update::{self, Outcome, Value},
 };
--- a/src/callers.rs
+++ b/src/callers.rs
@@ -1,12 +1,13 @@
 //! The callers' port: routing, and what every request says of itself.
 
 use crate::{
-  ask::Class,
   batch::Change,
   completions,
   instance::STACK,
   refusal::{Reason, Refusal},
-  reply, services,
+  reply,
+  request::Class,
+  services,
   shared::{Directive, Shared},
   submissions,
   verdict::Verdict,
--- a/src/claims.rs
+++ b/src/claims.rs
@@ -6,7 +6,6 @@
 //! cannot be reached an instance writes for itself.
 
 use crate::{
-  ask::Ticket,
   attempt::End,
   claim::{Act, Change, Outcome, Progress, RESULT_LIMIT},
   effect::Effect,
@@ -14,6 +13,7 @@
   journal::Entry,
   object::{Kind, Name},
   refusal::Reason,
+  request::Ticket,
   state::State,
   update::{self, Value},
   verdict::Verdict,
--- a/src/completions.rs
+++ b/src/completions.rs
@@ -1,13 +1,13 @@
 //! Completions: from a caller's request to its whole answer.
 
 use crate::{
-  ask::{Ask, Class, Ticket, Work},
   attempt::End,
   batch::Item,
   callers::{GRACE, busy, terms},
   engine::{self, Completion},
   event::Event,
   reply::{self, Reply},
+  request::{Ask, Class, Ticket, Work},
   shared::{Directive, Shared, ended},
   web::Request,
 };
--- a/src/crash/permit.rs
+++ b/src/crash/permit.rs
@@ -10,11 +10,11 @@
 
 use super::SUSPECT_CRASHES;
 use crate::{
-  ask::Ticket,
   content,
   dispatch::{Effect, End, State},
   life::Life,
   quota::{Allowance, Bound, Id, Quota, Spending},
+  request::Ticket,
 };
 
 /// A permit that is not released expires after this time: a run takes a few seconds, and the
--- a/src/dispatch.rs
+++ b/src/dispatch.rs
@@ -11,7 +11,6 @@
 pub use event::{Ask, Attempt, Change, Effect, End, Event};
 
 use crate::{
-  ask::Ticket,
   backend::{self, Backend, Holding},
   cold::{Deferrals, give_up_at},
   crash::{Admission, Filter, Permit},
@@ -22,6 +21,7 @@
   limit::{Choice, Limits},
   quota::{self, Allowance, Purse, Spending, Use},
   refusal::{Reason, Refusal},
+  request::Ticket,
   retry::{Bound, Budget},
   returned::Returned,
   statement::{Leaving, Rests},
--- a/src/dispatch/choice.rs
+++ b/src/dispatch/choice.rs
@@ -2,8 +2,8 @@
 
 use super::{State, event::Ask};
 use crate::{
-  ask::Ticket,
   backend::{self, Backend},
+  request::Ticket,
 };
 use rand::Rng;
 
--- a/src/dispatch/ending.rs
+++ b/src/dispatch/ending.rs
@@ -5,12 +5,12 @@
   event::{Attempt, Effect, End},
 };
 use crate::{
-  ask::Ticket,
   backend::{self, Backend, missing_name},
   crash::Crash,
   demand::Model,
   dispatch::Request,
   refusal::Reason,
+  request::Ticket,
   verdict::Verdict,
 };
 
--- a/src/dispatch/event.rs
+++ b/src/dispatch/event.rs
@@ -1,7 +1,6 @@
 //! What goes into the reducer of routed requests, and what comes out.
 
 use crate::{
-  ask::Ticket,
   backend::{self, Holding, Spec},
   contact::Silence,
   content,
@@ -12,6 +11,7 @@
   life::Life,
   quota::{Grant, Sums},
   refusal::Refusal,
+  request::Ticket,
   route::Route,
   statement::Statement,
   verdict::Verdict,
--- a/src/effect.rs
+++ b/src/effect.rs
@@ -1,7 +1,6 @@
 //! Effects that the reducer of an instance requests, as data.
 
 use crate::{
-  ask::{Class, Ticket},
   attempt::Attempt,
   claim,
   event::{Call, Delta, Tag},
@@ -10,6 +9,7 @@
   object::Name,
   order::Order,
   refusal::Refusal,
+  request::{Class, Ticket},
   update,
 };
 
--- a/src/event.rs
+++ b/src/event.rs
@@ -1,7 +1,6 @@
 //! Events that the reducer of an instance processes.
 
 use crate::{
-  ask::{Ask, Ticket},
   attempt::End,
   claim,
   fact::Listed,
@@ -9,6 +8,7 @@
   object::{Name, Object},
   order,
   replica::Id,
+  request::{Ask, Ticket},
   update,
 };
 
--- a/src/group.rs
+++ b/src/group.rs
@@ -1,9 +1,9 @@
 //! Groups: the requests for one model under one policy, and their demand.
 
 use crate::{
-  ask::{Class, Ticket},
   history::History,
   replica::Id,
+  request::{Class, Ticket},
 };
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/src/hub.rs
+++ b/src/hub.rs
@@ -1,7 +1,6 @@
 //! The routed requests' reducer and the threads that wait for its decisions.
 
 use crate::{
-  ask::Ticket,
   clock::Moment,
   contact::Contact,
   customer::{Caller, Standing},
@@ -11,6 +10,7 @@
   feed::Gate,
   measures::Measures,
   refusal::Refusal,
+  request::Ticket,
   socket::Bell,
   upstream::Pool,
 };
--- a/src/instance.rs
+++ b/src/instance.rs
@@ -1,7 +1,6 @@
 //! A running instance: the reducer's thread and what carries out its effects.
 
 use crate::{
-  ask::{Ask, Work},
   batch::Item,
   callers,
   clock::Moment,
@@ -15,6 +14,7 @@
   platform::Client,
   pool::Pool,
   reduce::reduce,
+  request::{Ask, Work},
   settings::Settings,
   shared::{Directive, Input, Shared},
   state::{Identity, State},
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -6,7 +6,6 @@
 
 pub mod admit;
 pub mod apply;
-pub mod ask;
 pub mod attempt;
 pub mod audit;
 pub mod backend;
@@ -92,6 +91,7 @@
 pub mod replication;
 pub mod reply;
 pub mod report;
+pub mod request;
 pub mod retry;
 mod returned;
 pub mod route;
--- a/src/limit/room.rs
+++ b/src/limit/room.rs
@@ -2,7 +2,6 @@
 
 use super::allowance;
 use crate::{
-  ask::Ticket,
   backend::{self, Backend},
   cold::give_up_at,
   crash::Permit,
@@ -10,6 +9,7 @@
   life::Life,
   quota::{AGAIN_MS, Id, Spending},
   refusal::Reason,
+  request::Ticket,
   verdict::Verdict,
 };
 
--- a/src/reduce.rs
+++ b/src/reduce.rs
@@ -77,7 +77,7 @@
 }
 
 /// Reports new demand for a model without delay.
-fn report_new_demand(state: &mut State, ticket: crate::ask::Ticket) {
+fn report_new_demand(state: &mut State, ticket: crate::request::Ticket) {
   let request = state.requests.get(&ticket);
   if let Some(key) = request.and_then(|request| request.group) {
     state.report_demand(key);
--- a/src/relay/mod.rs
+++ b/src/relay/mod.rs
@@ -8,7 +8,6 @@
 pub use refusal::refusal_answer;
 
 use crate::{
-  ask::Ticket,
   content,
   customer::Caller,
   demand::Model,
@@ -17,6 +16,7 @@
   hub::{Directive, Hub, Mailbox},
   measures,
   refusal::{Reason, Refusal},
+  request::Ticket,
   route::Route,
   socket::Socket,
   sse::Events,
--- a/src/services.rs
+++ b/src/services.rs
@@ -1,12 +1,12 @@
 //! Calls to plain services.
 
 use crate::{
-  ask::{Ask, Work},
   attempt::{Attempt, End},
   call::{self, Waits},
   callers::{busy, next, terms},
   event::Event,
   reply,
+  request::{Ask, Work},
   shared::{Directive, Shared, ended},
   verdict::Verdict,
   web::Request,
--- a/src/shared.rs
+++ b/src/shared.rs
@@ -1,7 +1,6 @@
 //! What the threads of an instance share.
 
 use crate::{
-  ask::Ticket,
   attempt::{Attempt, End},
   clock::Moment,
   event::Event,
@@ -10,6 +9,7 @@
   peer::Traffic,
   platform::Client,
   refusal::Refusal,
+  request::Ticket,
   settings::Settings,
   state::State,
   status::Status,
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,7 +1,6 @@
 //! State of one instance, and helpers that several modules use.
 
 use crate::{
-  ask::{Ask, Ticket},
   batches::Batches,
   catalog::{Catalog, DEFAULT_POLICY, Model, Server as Spec},
   claims::Claims,
@@ -16,6 +15,7 @@
   members::Members,
   policy::Policy,
   replica::{Id, Replica},
+  request::{Ask, Ticket},
   server::{self, Server},
   settings::Limits,
   verdict::Verdict,
--- a/src/strain.rs
+++ b/src/strain.rs
@@ -1,7 +1,7 @@
 //! How slow servers are for the models that they hold, as measured by requests: the part of
 //! their latency objective that passes between a send and the first byte of its answer.
 
-use crate::{ask::Ticket, dispatch::State};
+use crate::{dispatch::State, request::Ticket};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -3,12 +3,12 @@
 mod requests;
 
 use bendsaddle::{
-  ask::Ticket,
   backend::{Holding, Spec},
   demand::Model,
   deployment::{Checkpoint, Engine},
   dispatch::{Ask, Change, Effect, Event, State},
   refusal::Reason,
+  request::Ticket,
   route::{Repeat, Route, Stream},
   verdict::Verdict,
 };
--- a/tests/copies.rs
+++ b/tests/copies.rs
@@ -11,12 +11,12 @@
 mod requests;
 
 use bendsaddle::{
-  ask::Ticket,
   content,
   crash::{Suspected, permit},
   deployment::Engine,
   dispatch::{Ask, Change, Effect, End, Event, State},
   quota::Accounts,
+  request::Ticket,
   route::Repeat,
   verdict::Verdict,
 };
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -1,13 +1,13 @@
 //! Decisions of one reducer, answered step by step.
 
 use bendsaddle::{
-  ask::{Ask, Class, Ticket, Work},
   effect::Effect,
   event::{Event, Tag},
   ledger,
   object::{Kind, Name, Object},
   record,
   reduce::reduce,
+  request::{Ask, Class, Ticket, Work},
   settings::Limits,
   state::{Identity, State},
   update::{Change, Outcome, Rejection, Stored, Value},
--- a/tests/dispatch.rs
+++ b/tests/dispatch.rs
@@ -3,13 +3,13 @@
 mod requests;
 
 use bendsaddle::{
-  ask::Ticket,
   backend::{Holding, Spec, Stage, short_hash},
   contact::Silence,
   demand::Model,
   deployment::{Deployment, Engine},
   dispatch::{Ask, Change, Effect, End, Event, State},
   refusal::Reason,
+  request::Ticket,
   retry::Budget,
   route::{Repeat, Route, Stream},
   verdict::Verdict,
--- a/tests/fleet_limit/mod.rs
+++ b/tests/fleet_limit/mod.rs
@@ -2,13 +2,13 @@
 //! all instances, the holder's accounts, and datagrams between them that come late or never.
 
 use bendsaddle::{
-  ask::Ticket,
   backend::Spec,
   deployment::{Deployment, Pool},
   dispatch::{Ask, Attempt, Change, Effect, End, Event, State},
   life::Life,
   quota::{Accounts, Grant, Sums, Use},
   refusal::{Reason, Refusal},
+  request::Ticket,
   retry::Bound,
   route::{Repeat, Route},
   statement::Statement,
--- a/tests/hub.rs
+++ b/tests/hub.rs
@@ -1,13 +1,13 @@
 //! Decisions reach the threads that wait for them in the order in which they were made.
 
 use bendsaddle::{
-  ask::Ticket,
   backend::{Holding, Spec, Stage},
   demand::Model,
   deployment::{Deployment, Engine, Pool},
   dialect::Dialect,
   dispatch::{Ask, Change, End, Event, State},
   hub::{Directive, Hub, Mailbox},
+  request::Ticket,
   retry::Bound,
   route::{Part, Repeat, Route},
   socket::{Want, wait},
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -5,13 +5,13 @@
 mod requests;
 
 use bendsaddle::{
-  ask::Ticket,
   backend::Spec,
   deployment::Engine,
   dispatch::{Ask, Change, Effect, End, Event, State},
   life::Life,
   limit::{Limits, allowance, parse},
   refusal::Reason,
+  request::Ticket,
   route::{Repeat, Stream},
   verdict::Verdict,
 };
--- a/tests/lives.rs
+++ b/tests/lives.rs
@@ -5,13 +5,13 @@
 mod requests;
 
 use bendsaddle::{
-  ask::Ticket,
   backend::{Holding, Spec},
   command::{Command, Inventory, Taken},
   demand::Model,
   deployment::Engine,
   dispatch::{Ask, Change, Effect, End, Event, State},
   placement::plan::{Effect as Planned, Publication},
+  request::Ticket,
   route::Repeat,
 };
 use holder::World;
--- a/tests/quarantine.rs
+++ b/tests/quarantine.rs
@@ -3,7 +3,6 @@
 mod requests;
 
 use bendsaddle::{
-  ask::Ticket,
   content,
   crash::{
     Crash, Quarantined, Registry, Repeated,
@@ -13,6 +12,7 @@
   dispatch::{Ask, Change, Effect, End, Event, State},
   life::Life,
   refusal::Reason,
+  request::Ticket,
   route::Repeat,
   store::{Error, Object, Revision},
   verdict::Verdict,
--- a/tests/returned.rs
+++ b/tests/returned.rs
@@ -4,10 +4,10 @@
 mod requests;
 
 use bendsaddle::{
-  ask::Ticket,
   backend::{Spec, Stage},
   deployment::Engine,
   dispatch::{Ask, Change, Effect, Event, State},
+  request::Ticket,
   route::Repeat,
 };
 use std::sync::Arc;
--- a/tests/statements.rs
+++ b/tests/statements.rs
@@ -4,13 +4,13 @@
 mod requests;
 
 use bendsaddle::{
-  ask::Ticket,
   backend::{Holding, Spec, Stage},
   deployment::Engine,
   dispatch::{Ask, Attempt, Change, Effect, End, Event, State},
   http::Headers,
   life::Life,
   refusal::Reason,
+  request::Ticket,
   route::Repeat,
   statement::{Content, Said, Statement},
   verdict::Verdict,
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -2,7 +2,6 @@
 //! driven by a list of numbers: any interleaving, loss, pause or restart.
 
 use bendsaddle::{
-  ask::{Ask, Class, Ticket, Work},
   attempt::{Attempt, End},
   claim,
   effect::Effect,
@@ -16,6 +15,7 @@
   refusal::Refusal,
   replica::Id,
   report::{Report, Resident, Stage},
+  request::{Ask, Class, Ticket, Work},
   settings::Limits,
   state::{Identity, State},
   update::{Change, Outcome, Stored, Value},
