--- a/src/admit.rs
+++ b/src/admit.rs
@@ -7,7 +7,7 @@
   journal::Entry,
   refusal::{Reason, Refusal},
   replica::{Id, Target},
-  request::{Ask, Class, Ticket, Work},
+  request::{Class, Descriptor, Ticket, Work},
   server,
   settings::Dispatch,
   state::{Request, State},
@@ -27,7 +27,7 @@
 
 impl State {
   /// Admits or refuses a request that arrived.
-  pub fn on_request_arrived(&mut self, descriptor: Ask) {
+  pub fn on_request_arrived(&mut self, descriptor: Descriptor) {
     self.retry_budget = (self.retry_budget + self.limits.retry_percent).min(MAX_RETRY_BUDGET);
     let mut request = Request {
       group: None,
--- a/src/bucket.rs
+++ b/src/bucket.rs
@@ -16,7 +16,7 @@
 
 impl Bucket {
   /// A full bucket for `rate` calls a second.
-  pub fn open(rate: u32, now: Moment) -> Self {
+  pub fn new(rate: u32, now: Moment) -> Self {
     let rate = f64::from(rate);
     Self {
       rate,
@@ -32,7 +32,7 @@
   }
 
   /// Takes a token, or says how long to wait for one.
-  pub fn take(&mut self, urgent: bool, now: Moment) -> Result<(), Duration> {
+  pub fn acquire(&mut self, urgent: bool, now: Moment) -> Result<(), Duration> {
     let gained = (now - self.filled).as_secs_f64() * self.rate;
     self.tokens = (self.tokens + gained).min(self.rate);
     self.filled = now;
--- a/src/call.rs
+++ b/src/call.rs
@@ -35,10 +35,10 @@
 
 /// Bounds on a call's waits.
 #[derive(Clone, Copy, Debug)]
-pub struct Waits {
+pub struct Timeouts {
   pub connect: Duration,
   /// Between request and the answer's head.
-  pub answer: Duration,
+  pub response: Duration,
   /// Between two reads of the body.
   pub read: Duration,
 }
@@ -86,7 +86,7 @@
 }
 
 /// Makes one call.
-pub fn send(request: Request<Vec<u8>>, waits: Waits) -> Result<Response<Body>, Failure> {
+pub fn send(request: Request<Vec<u8>>, waits: Timeouts) -> Result<Response<Body>, Failure> {
   let sent = Arc::new(AtomicBool::new(false));
   let config = Agent::config_builder()
     .max_redirects(0)
@@ -97,7 +97,7 @@
     .input_buffer_size(BUFFER)
     .output_buffer_size(BUFFER)
     .timeout_connect(Some(waits.connect))
-    .timeout_recv_response(Some(waits.answer))
+    .timeout_recv_response(Some(waits.response))
     .timeout_per_read(Some(waits.read))
     .timeout_per_write(Some(waits.read))
     .build();
--- a/src/callers.rs
+++ b/src/callers.rs
@@ -11,7 +11,7 @@
   shared::{Directive, Shared},
   submissions,
   verdict::Verdict,
-  web::{self, Bounds, Request},
+  web::{self, Limits, Request},
 };
 use std::{
   io,
@@ -22,25 +22,25 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 /// Longest deadline a caller may name, ms.
-pub const DEADLINE_MOST: u64 = 86_400_000;
+pub const MAX_DEADLINE_MS: u64 = 86_400_000;
 /// Bytes of a request's head.
 const HEAD_BYTES: usize = 16 << 10;
 /// Time past its deadline after which a request's thread stops waiting.
-pub const GRACE: Duration = Duration::from_secs(30);
+pub const DEADLINE_GRACE: Duration = Duration::from_secs(30);
 
 /// Binds the port and answers until the process ends.
 pub fn bind(shared: &Arc<Shared>) -> io::Result<SocketAddr> {
   let limits = &shared.settings.limits;
-  let bounds = Bounds {
+  let bounds = Limits {
     connections: limits.requests,
-    head: HEAD_BYTES,
-    body: limits.body_bytes,
-    arrive: Duration::from_millis(limits.caller_stall_ms),
-    idle: Duration::from_millis(limits.caller_idle_ms),
-    stall: Duration::from_millis(limits.caller_stall_ms),
-    stack: STACK,
+    head_bytes: HEAD_BYTES,
+    body_bytes: limits.body_bytes,
+    request_timeout: Duration::from_millis(limits.caller_stall_ms),
+    idle_timeout: Duration::from_millis(limits.caller_idle_ms),
+    write_timeout: Duration::from_millis(limits.caller_stall_ms),
+    stack_bytes: STACK,
   };
-  let busy = reply::refusal_body(busy()).to_string();
+  let busy = reply::refusal_body(queue_full()).to_string();
   let worker = shared.clone();
   web::bind(&shared.settings.callers, bounds, busy, move |request| {
     handle(&worker, request);
@@ -48,7 +48,7 @@
 }
 
 /// The refusal of a caller beyond the instance's bounds.
-pub fn busy() -> Refusal {
+pub fn queue_full() -> Refusal {
   Refusal {
     reason: Reason::QueueFull,
     verdict: Verdict::NotRun,
@@ -82,7 +82,7 @@
 }
 
 /// What every request says of itself in its headers.
-pub struct Terms {
+pub struct Options {
   pub class: Class,
   /// Time by which the first byte must be on its way, ms.
   pub deadline: u64,
@@ -91,7 +91,11 @@
 }
 
 /// Reads and checks a request's headers.
-pub fn terms(shared: &Shared, request: &Request, user: Option<&str>) -> Result<Terms, String> {
+pub fn parse_options(
+  shared: &Shared,
+  request: &Request,
+  user: Option<&str>,
+) -> Result<Options, String> {
   let class = match request.header("x-class") {
     None | Some("interactive") => Class::Interactive,
     Some("batch") => Class::Batch,
@@ -100,10 +104,10 @@
   let wait = match request.header("x-deadline-ms") {
     None => shared.settings.limits.deadline_ms,
     Some(text) => match text.parse::<u64>() {
-      Ok(wait) if (1..=DEADLINE_MOST).contains(&wait) => wait,
+      Ok(wait) if (1..=MAX_DEADLINE_MS).contains(&wait) => wait,
       _ => {
         return Err(format!(
-          "x-deadline-ms: `{text}` is not within 1..={DEADLINE_MOST}"
+          "x-deadline-ms: `{text}` is not within 1..={MAX_DEADLINE_MS}"
         ));
       }
     },
@@ -115,7 +119,7 @@
     Some(name) => xxh3_64(name.as_bytes()),
     None => xxh3_64(request.peer.ip().to_string().as_bytes()),
   };
-  Ok(Terms {
+  Ok(Options {
     class,
     deadline: shared.now() + wait,
     caller,
@@ -124,7 +128,11 @@
 
 /// The next directive; none when the reducer has not answered long past the
 /// deadline.
-pub fn next(shared: &Shared, directives: &Receiver<Directive>, deadline: u64) -> Option<Directive> {
+pub fn next_directive(
+  shared: &Shared,
+  directives: &Receiver<Directive>,
+  deadline: u64,
+) -> Option<Directive> {
   let left = Duration::from_millis(deadline.saturating_sub(shared.now()));
-  directives.recv_timeout(left + GRACE).ok()
+  directives.recv_timeout(left + DEADLINE_GRACE).ok()
 }
--- a/src/completions.rs
+++ b/src/completions.rs
@@ -3,11 +3,11 @@
 use crate::{
   attempt::End,
   batch::Item,
-  callers::{GRACE, busy, terms},
+  callers::{DEADLINE_GRACE, parse_options, queue_full},
   engine::{self, Completion},
   event::Event,
   reply::{self, Reply},
-  request::{Ask, Class, Ticket, Work},
+  request::{Class, Descriptor, Ticket, Work},
   shared::{Directive, Shared, ended},
   web::Request,
 };
@@ -65,7 +65,7 @@
     .and_then(|body| {
       Ok((
         prompt(&body)?,
-        terms(shared, request, body.user.as_deref())?,
+        parse_options(shared, request, body.user.as_deref())?,
         body,
       ))
     });
@@ -74,7 +74,7 @@
     Err(text) => return reply::error(request, 400, "invalid_request", &text),
   };
   let (ticket, directives) = shared.open_ticket();
-  let ask = Ask {
+  let ask = Descriptor {
     ticket,
     work: Work::Model {
       model: body.model.clone(),
@@ -93,7 +93,7 @@
 /// Carries a model's request from admission to its final answer.
 fn run(
   shared: &Shared,
-  ask: Ask,
+  ask: Descriptor,
   directives: &Receiver<Directive>,
   prompt: String,
   max_tokens: u32,
@@ -121,7 +121,7 @@
     let attempt = match await_turn(shared, directives, ticket, deadline, reply) {
       Some(Directive::Send(attempt)) => attempt,
       Some(Directive::Refuse(refusal)) => return reply.refuse(refusal),
-      _ => return reply.refuse(busy()),
+      _ => return reply.refuse(queue_full()),
     };
     completion.replica = attempt.replica.map(|id| id.0).unwrap_or_default();
     completion.attempt = format!("{}/{}", completion.request, attempt.number);
@@ -158,7 +158,7 @@
   deadline: u64,
   reply: &Reply,
 ) -> Option<Directive> {
-  let until = deadline + GRACE.as_millis() as u64;
+  let until = deadline + DEADLINE_GRACE.as_millis() as u64;
   let mut notified = false;
   while shared.now() < until {
     match directives.recv_timeout(LOOK) {
@@ -177,7 +177,7 @@
 /// Runs one item of a batch.
 pub fn run_item(
   shared: &Shared,
-  ask: Ask,
+  ask: Descriptor,
   directives: &Receiver<Directive>,
   prompt: String,
   max_tokens: u32,
--- a/src/customer/credential.rs
+++ b/src/customer/credential.rs
@@ -40,7 +40,7 @@
 }
 
 fn key(headers: &Headers) -> Option<Digest> {
-  let mut values = headers.all(AUTHORIZATION);
+  let mut values = headers.get_all(AUTHORIZATION);
   let value = values.next()?;
   // Of two keys it would be anybody's guess which one counts.
   if values.next().is_some() {
--- a/src/dialect.rs
+++ b/src/dialect.rs
@@ -36,7 +36,7 @@
 
 impl Dialect {
   /// The product's own names.
-  pub const OWN: Self = Self {
+  pub const DEFAULT: Self = Self {
     request_id: "x-request-id",
     deadline_ms: "x-deadline-ms",
     model: "x-model",
--- a/src/engine.rs
+++ b/src/engine.rs
@@ -7,7 +7,7 @@
 
 use crate::{
   attempt::{Attempt, End},
-  call::{self, Failure, Waits},
+  call::{self, Failure, Timeouts},
   order::{Act, Order, Outcome},
   report::Report,
   settings::Limits,
@@ -71,10 +71,10 @@
   pub fence: u64,
 }
 
-fn control_waits(limits: &Limits) -> Waits {
-  Waits {
+fn control_waits(limits: &Limits) -> Timeouts {
+  Timeouts {
     connect: Duration::from_millis(limits.connect_ms),
-    answer: CONTROL,
+    response: CONTROL,
     read: CONTROL,
   }
 }
@@ -193,9 +193,9 @@
   mut token: impl FnMut(String) -> bool,
 ) -> End {
   let stall = Duration::from_millis(limits.token_stall_ms);
-  let waits = Waits {
+  let waits = Timeouts {
     connect: Duration::from_millis(limits.connect_ms),
-    answer: stall,
+    response: stall,
     read: stall,
   };
   let body = serde_json::to_vec(completion).unwrap_or_default();
--- a/src/entry.rs
+++ b/src/entry.rs
@@ -4,12 +4,12 @@
   clock::Moment,
   customer::{self, Caller},
   deployment::{Bounds, Deployment},
-  http::{Body, Fault, Framing, Headers, Request, Response},
+  http::{Decoder, Error, Framing, Headers, Request, Response},
   hub::{Hub, Mailbox},
   refusal::{Reason, Refusal},
   relay::{self, Incoming, Then},
   route::{self, Route},
-  socket::{Fill, Socket, Want, wait},
+  socket::{Fill, Interest, Socket, wait},
   verdict::Verdict,
   web,
 };
@@ -105,7 +105,7 @@
   };
   if let Ok(mut socket) = Socket::accept(stream) {
     // A caller that does not take even this is owed nothing more.
-    let _ = socket.push(&relay::refusal_answer(&refusal, false));
+    let _ = socket.try_write(&relay::refusal_answer(&refusal, false));
   }
 }
 
@@ -145,7 +145,7 @@
 fn close(mut socket: Socket) {
   // A connection that has ended already needs no shutdown.
   let _ = socket.stream.shutdown(std::net::Shutdown::Write);
-  while let Ok(Fill::Some) = socket.fill() {
+  while let Ok(Fill::Data) = socket.fill() {
     socket.input.clear();
   }
 }
@@ -181,10 +181,10 @@
       true => idle.min(Moment::now() + LATE_CALLER),
       false => idle,
     };
-    let stop = (!stopping).then_some((&hub.stop_bell as _, Want::Read));
-    let [called, stopped] = wait([Some((&socket.stream as _, Want::Read)), stop], until)?;
+    let stop = (!stopping).then_some((&hub.stop_bell as _, Interest::Read));
+    let [called, stopped] = wait([Some((&socket.stream as _, Interest::Read)), stop], until)?;
     if called {
-      if socket.fill()? == Fill::End {
+      if socket.fill()? == Fill::Eof {
         return Ok(false);
       }
     } else if !stopped {
@@ -208,7 +208,7 @@
   Ok((head, body, arrived))
 }
 
-fn bad(fault: Fault) -> Stop {
+fn bad(fault: Error) -> Stop {
   Stop::Answer(400, fault.0)
 }
 
@@ -237,7 +237,7 @@
       return Err(large_head(bounds));
     }
     let filled = socket.fill_by(until);
-    if filled.map_err(|error| late(error, "head"))? == Fill::End {
+    if filled.map_err(|error| late(error, "head"))? == Fill::Eof {
       return Err(Stop::Closed);
     }
   }
@@ -253,22 +253,25 @@
   if matches!(framing, Framing::Length(length) if length > bounds.body_bytes as u64) {
     return Err(large());
   }
-  let mut body = Body::open(framing);
+  let mut body = Decoder::new(framing);
   let mut bytes = Vec::new();
   let until = Moment::now() + BODY_TIME;
-  if head.headers.names("expect", "100-continue") && !body.done() && socket.input.is_empty() {
+  if head.headers.has_token("expect", "100-continue")
+    && !body.is_complete()
+    && socket.input.is_empty()
+  {
     socket.write_all(b"HTTP/1.1 100 Continue\r\n\r\n", until)?;
   }
   loop {
-    body.take(&mut socket.input, &mut bytes).map_err(bad)?;
+    body.decode(&mut socket.input, &mut bytes).map_err(bad)?;
     if bytes.len() > bounds.body_bytes {
       return Err(large());
     }
-    if body.done() {
+    if body.is_complete() {
       return Ok(bytes);
     }
     let filled = socket.fill_by(until);
-    if filled.map_err(|error| late(error, "body"))? == Fill::End {
+    if filled.map_err(|error| late(error, "body"))? == Fill::Eof {
       return Err(Stop::Closed);
     }
   }
@@ -292,7 +295,7 @@
   arrived: u64,
 ) -> Then {
   let deployment = known_deployment(hub);
-  let keep = head.keeps();
+  let keep = head.keep_alive();
   let Some(deployment) = deployment else {
     let refusal = Refusal {
       reason: Reason::PlatformUnavailable,
@@ -300,7 +303,7 @@
       retry_after: Some(UNCONFIGURED_MS),
     };
     info!(hub.log, "refused"; "request" => head.headers.get(hub.dialect.request_id),
-      "reason" => refusal.reason.word(), "why" => "no configuration is known");
+      "reason" => refusal.reason.as_str(), "why" => "no configuration is known");
     return own(socket, &relay::refusal_answer(&refusal, keep), keep);
   };
   let host = head.headers.get("host").unwrap_or_default();
@@ -314,7 +317,7 @@
     Ok(caller) => caller,
     Err(refusal) => {
       info!(hub.log, "refused"; "request" => head.headers.get(hub.dialect.request_id),
-        "route" => &route.name, "reason" => refusal.reason.word(), "verdict" => "not-run",
+        "route" => &route.name, "reason" => refusal.reason.as_str(), "verdict" => "not-run",
         "version" => deployment.version, "waited_ms" => 0,
         "keys_age_ms" => hub.gates.deployments.sure_age().map(|age| age.as_millis() as u64));
       hub.measures.refusal(&refusal);
--- a/src/event.rs
+++ b/src/event.rs
@@ -8,7 +8,7 @@
   object::{Name, Object},
   order,
   replica::Id,
-  request::{Ask, Ticket},
+  request::{Descriptor, Ticket},
   update,
 };
 
@@ -64,7 +64,7 @@
   /// Time has passed.
   Tick,
   /// A caller's request arrived.
-  RequestArrived(Ask),
+  RequestArrived(Descriptor),
   /// The caller of a waiting request disconnected.
   CallerLeft { ticket: Ticket },
   /// An attempt ended.
--- a/src/feed/gate.rs
+++ b/src/feed/gate.rs
@@ -2,7 +2,7 @@
 //! others asks by itself when that one's updates are old or name a change that it lacks.
 
 use crate::{
-  clock::Moment, contact::Contact, feed::Batch, hub::lock, socket::Bell, store::Object,
+  clock::Moment, contact::Contact, feed::Batch, hub::lock, socket::Waker, store::Object,
   store::Revision,
 };
 use serde::{Deserialize, Serialize};
@@ -140,7 +140,7 @@
   state: Mutex<State>,
   changed: Condvar,
   /// Rings when there is something to publish.
-  bell: OnceLock<Arc<Bell>>,
+  bell: OnceLock<Arc<Waker>>,
   contact: Arc<Contact>,
 }
 
@@ -154,7 +154,7 @@
   }
 
   /// Rings `bell` when there is something to publish.
-  pub fn ring(&self, bell: Arc<Bell>) {
+  pub fn ring(&self, bell: Arc<Waker>) {
     // The first one stays.
     let _ = self.bell.set(bell);
   }
@@ -329,7 +329,7 @@
   /// Rings for what there is to publish, once it is known here.
   pub(super) fn announce(&self) {
     if let (true, Some(bell)) = (self.leads(), self.bell.get()) {
-      bell.ring();
+      bell.wake();
     }
   }
 
--- a/src/health.rs
+++ b/src/health.rs
@@ -65,7 +65,7 @@
         let answer = format!(
           "HTTP/1.1 {status} Health\r\nContent-Type: text/plain\r\nContent-Length: {length}\r\n\r\n{body}"
         );
-        if stream.write_all(answer.as_bytes()).is_err() || !head.keeps() {
+        if stream.write_all(answer.as_bytes()).is_err() || !head.keep_alive() {
           return;
         }
       }
--- a/src/http.rs
+++ b/src/http.rs
@@ -12,7 +12,7 @@
 
 /// Why bytes are not a message.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Fault(pub String);
+pub struct Error(pub String);
 
 /// The header lines of a message, in order.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -21,12 +21,12 @@
 impl Headers {
   /// The first value of a header, where it is text.
   pub fn get(&self, name: &str) -> Option<&str> {
-    let found = self.all(name).next()?;
+    let found = self.get_all(name).next()?;
     std::str::from_utf8(found).ok().map(str::trim)
   }
 
   /// All values of a header.
-  pub fn all<'a, 'b>(&'a self, name: &'b str) -> impl Iterator<Item = &'a [u8]> + use<'a, 'b> {
+  pub fn get_all<'a, 'b>(&'a self, name: &'b str) -> impl Iterator<Item = &'a [u8]> + use<'a, 'b> {
     self
       .0
       .iter()
@@ -35,8 +35,8 @@
   }
 
   /// Whether a comma-separated header names `token`.
-  pub fn names(&self, header: &str, token: &str) -> bool {
-    self.all(header).any(|value| {
+  pub fn has_token(&self, header: &str, token: &str) -> bool {
+    self.get_all(header).any(|value| {
       let value = String::from_utf8_lossy(value);
       value
         .split(',')
@@ -58,9 +58,9 @@
   }
 
   /// Removes what concerns one connection only, framing included.
-  pub fn remove_hop(&mut self) {
+  pub fn remove_hop_by_hop(&mut self) {
     let named: Vec<String> = self
-      .all("connection")
+      .get_all("connection")
       .flat_map(|value| {
         let value = String::from_utf8_lossy(value).into_owned();
         value
@@ -140,16 +140,16 @@
 impl Request {
   /// The request at the start of `bytes` and its head's length; none while the
   /// head is incomplete.
-  pub fn parse(bytes: &[u8]) -> Result<Option<(Self, usize)>, Fault> {
+  pub fn parse(bytes: &[u8]) -> Result<Option<(Self, usize)>, Error> {
     let mut lines = [httparse::EMPTY_HEADER; HEADER_LINES];
     let mut parsed = httparse::Request::new(&mut lines);
     let length = match parsed.parse(bytes) {
       Ok(httparse::Status::Complete(length)) => length,
       Ok(httparse::Status::Partial) => return Ok(None),
-      Err(error) => return Err(Fault(format!("head: {error}"))),
+      Err(error) => return Err(Error(format!("head: {error}"))),
     };
     if bare_line_end(&bytes[..length]) {
-      return Err(Fault("head: a line does not end with CR LF".into()));
+      return Err(Error("head: a line does not end with CR LF".into()));
     }
     let request = Self {
       method: parsed.method.unwrap_or_default().into(),
@@ -161,26 +161,26 @@
   }
 
   /// How the body ends; an ambiguous request is a fault.
-  pub fn framing(&self) -> Result<Framing, Fault> {
-    let lengths: Vec<&[u8]> = self.headers.all("content-length").collect();
-    let codings: Vec<&[u8]> = self.headers.all("transfer-encoding").collect();
+  pub fn framing(&self) -> Result<Framing, Error> {
+    let lengths: Vec<&[u8]> = self.headers.get_all("content-length").collect();
+    let codings: Vec<&[u8]> = self.headers.get_all("transfer-encoding").collect();
     match (lengths.as_slice(), codings.as_slice()) {
       ([], []) => Ok(Framing::Empty),
       ([length], []) => Ok(Framing::Length(number(length)?)),
       ([], [coding]) if coding.eq_ignore_ascii_case(b"chunked") && self.minor == 1 => {
         Ok(Framing::Chunked)
       }
-      ([], [coding, ..]) => Err(Fault(format!(
+      ([], [coding, ..]) => Err(Error(format!(
         "transfer-encoding: `{}` is not understood",
         String::from_utf8_lossy(coding)
       ))),
-      _ => Err(Fault("head: the body's length is given twice".into())),
+      _ => Err(Error("head: the body's length is given twice".into())),
     }
   }
 
   /// Whether the connection stays open after the answer.
-  pub fn keeps(&self) -> bool {
-    self.minor == 1 && !self.headers.names("connection", "close")
+  pub fn keep_alive(&self) -> bool {
+    self.minor == 1 && !self.headers.has_token("connection", "close")
   }
 
   /// The path without its query.
@@ -198,13 +198,13 @@
 impl Response {
   /// The answer at the start of `bytes` and its head's length; none while the
   /// head is incomplete.
-  pub fn parse(bytes: &[u8]) -> Result<Option<(Self, usize)>, Fault> {
+  pub fn parse(bytes: &[u8]) -> Result<Option<(Self, usize)>, Error> {
     let mut lines = [httparse::EMPTY_HEADER; HEADER_LINES];
     let mut parsed = httparse::Response::new(&mut lines);
     let length = match parsed.parse(bytes) {
       Ok(httparse::Status::Complete(length)) => length,
       Ok(httparse::Status::Partial) => return Ok(None),
-      Err(error) => return Err(Fault(format!("head: {error}"))),
+      Err(error) => return Err(Error(format!("head: {error}"))),
     };
     let response = Self {
       status: parsed.code.unwrap_or_default(),
@@ -216,25 +216,25 @@
   }
 
   /// How the body ends.
-  pub fn framing(&self, method: &str) -> Result<Framing, Fault> {
+  pub fn framing(&self, method: &str) -> Result<Framing, Error> {
     if method == "HEAD" || self.status < 200 || matches!(self.status, 204 | 304) {
       return Ok(Framing::Empty);
     }
-    let mut lengths = self.headers.all("content-length");
+    let mut lengths = self.headers.get_all("content-length");
     match (self.headers.get("transfer-encoding"), lengths.next()) {
       (Some(coding), None) if coding.eq_ignore_ascii_case("chunked") => Ok(Framing::Chunked),
-      (Some(coding), _) => Err(Fault(format!(
+      (Some(coding), _) => Err(Error(format!(
         "transfer-encoding: `{coding}` is not understood"
       ))),
       (None, Some(length)) if lengths.next().is_none() => Ok(Framing::Length(number(length)?)),
-      (None, Some(_)) => Err(Fault("head: the body's length is given twice".into())),
+      (None, Some(_)) => Err(Error("head: the body's length is given twice".into())),
       (None, None) => Ok(Framing::Close),
     }
   }
 
   /// Whether the connection stays open after the answer.
-  pub fn keeps(&self) -> bool {
-    self.minor == 1 && !self.headers.names("connection", "close")
+  pub fn keep_alive(&self) -> bool {
+    self.minor == 1 && !self.headers.has_token("connection", "close")
   }
 
   /// The head's bytes.
@@ -248,9 +248,9 @@
   }
 }
 
-fn number(digits: &[u8]) -> Result<u64, Fault> {
+fn number(digits: &[u8]) -> Result<u64, Error> {
   let text = String::from_utf8_lossy(digits);
-  let fault = || Fault(format!("content-length: `{text}` is not a number"));
+  let fault = || Error(format!("content-length: `{text}` is not a number"));
   if digits.is_empty() || !digits.iter().all(u8::is_ascii_digit) {
     return Err(fault());
   }
@@ -279,7 +279,7 @@
 }
 
 /// A piece of a body as one chunk.
-pub fn chunk(piece: &[u8]) -> Vec<u8> {
+pub fn encode_chunk(piece: &[u8]) -> Vec<u8> {
   let mut bytes = format!("{:x}\r\n", piece.len()).into_bytes();
   bytes.extend_from_slice(piece);
   bytes.extend_from_slice(b"\r\n");
@@ -300,16 +300,16 @@
 
 /// Takes a body apart as its bytes arrive.
 #[derive(Clone, Debug)]
-pub struct Body {
+pub struct Decoder {
   framing: Framing,
   left: u64,
   part: Part,
   done: bool,
 }
 
-impl Body {
+impl Decoder {
   /// A body of which nothing has arrived.
-  pub fn open(framing: Framing) -> Self {
+  pub fn new(framing: Framing) -> Self {
     let left = match framing {
       Framing::Length(length) => length,
       _ => 0,
@@ -323,18 +323,18 @@
   }
 
   /// Whether the body is whole.
-  pub fn done(&self) -> bool {
+  pub fn is_complete(&self) -> bool {
     self.done
   }
 
   /// The connection has ended; whether that makes the body whole.
-  pub fn end(&mut self) -> bool {
+  pub fn finish(&mut self) -> bool {
     self.done |= self.framing == Framing::Close;
     self.done
   }
 
   /// Moves what belongs to the body from `bytes` to `out`.
-  pub fn take(&mut self, bytes: &mut Vec<u8>, out: &mut Vec<u8>) -> Result<(), Fault> {
+  pub fn decode(&mut self, bytes: &mut Vec<u8>, out: &mut Vec<u8>) -> Result<(), Error> {
     let mut used = 0;
     while !self.done && used < bytes.len() {
       let step = match self.framing {
@@ -363,16 +363,16 @@
     length
   }
 
-  fn chunked(&mut self, bytes: &[u8], out: &mut Vec<u8>) -> Result<usize, Fault> {
+  fn chunked(&mut self, bytes: &[u8], out: &mut Vec<u8>) -> Result<usize, Error> {
     match self.part {
       Part::Size => {
         let parsed = httparse::parse_chunk_size(bytes);
         let Ok(parsed) = parsed else {
-          return Err(Fault("body: a chunk has no size".into()));
+          return Err(Error("body: a chunk has no size".into()));
         };
         let httparse::Status::Complete((used, size)) = parsed else {
           return match bytes.len() > CHUNK_LINE {
-            true => Err(Fault("body: a chunk's size line is too long".into())),
+            true => Err(Error("body: a chunk's size line is too long".into())),
             false => Ok(0),
           };
         };
@@ -396,12 +396,12 @@
           Ok(2)
         }
         [b'\r'] => Ok(0),
-        _ => Err(Fault("body: a chunk does not end where it should".into())),
+        _ => Err(Error("body: a chunk does not end where it should".into())),
       },
       Part::Trailer => {
         let Some(end) = bytes.windows(2).position(|pair| pair == b"\r\n") else {
           return match bytes.len() > CHUNK_LINE {
-            true => Err(Fault("body: a trailer line is too long".into())),
+            true => Err(Error("body: a trailer line is too long".into())),
             false => Ok(0),
           };
         };
--- a/src/hub.rs
+++ b/src/hub.rs
@@ -11,7 +11,7 @@
   measures::Measures,
   refusal::Refusal,
   request::Ticket,
-  socket::Bell,
+  socket::Waker,
   upstream::Pool,
 };
 use slog::{Logger, info};
@@ -38,7 +38,7 @@
 #[derive(Debug)]
 pub struct Mailbox {
   directives: Mutex<VecDeque<Directive>>,
-  pub bell: Bell,
+  pub bell: Waker,
 }
 
 impl Mailbox {
@@ -46,7 +46,7 @@
   pub fn open() -> io::Result<Self> {
     Ok(Self {
       directives: Mutex::default(),
-      bell: Bell::open()?,
+      bell: Waker::new()?,
     })
   }
 
@@ -94,9 +94,9 @@
   /// A planned stop has begun.
   pub stopping: AtomicBool,
   /// Rings at a planned stop.
-  pub stop_bell: Bell,
+  pub stop_bell: Waker,
   /// Rings when demand should be reported to the planner.
-  pub want_bell: Bell,
+  pub want_bell: Waker,
   /// Requests under way.
   pub active: AtomicUsize,
   /// Customers' standings, where this instance holds the lease.
@@ -120,8 +120,8 @@
       measures,
       gates: Gates::open(),
       stopping: AtomicBool::new(false),
-      stop_bell: Bell::open()?,
-      want_bell: Bell::open()?,
+      stop_bell: Waker::new()?,
+      want_bell: Waker::new()?,
       active: AtomicUsize::new(0),
       standings: Mutex::default(),
       key_age_ms: AtomicU64::new(u64::MAX),
@@ -202,17 +202,17 @@
         Effect::Wait(ticket, until) => (ticket, Directive::Wait(until)),
         Effect::Refuse(ticket, refusal) => (ticket, Directive::Refuse(refusal)),
         Effect::Want | Effect::Crashed | Effect::Need => {
-          self.want_bell.ring();
+          self.want_bell.wake();
           continue;
         }
         Effect::Limited { id, rate } => {
           info!(self.log, "server limit"; "server" => id, "rate" => rate);
-          self.want_bell.ring();
+          self.want_bell.wake();
           continue;
         }
         Effect::Leaving { id, own } => {
           info!(self.log, "server says that it leaves"; "server" => id, "to_this_instance" => own);
-          self.want_bell.ring();
+          self.want_bell.wake();
           continue;
         }
         Effect::Rest { id, rest_ms } => {
@@ -243,7 +243,7 @@
       }
       mailbox.put(directive);
       if !own {
-        mailbox.bell.ring();
+        mailbox.bell.wake();
       }
     }
   }
@@ -251,7 +251,7 @@
   /// Begins a planned stop.
   pub fn stop(&self) {
     self.stopping.store(true, Ordering::Relaxed);
-    self.stop_bell.ring();
+    self.stop_bell.wake();
   }
 }
 
--- a/src/instance.rs
+++ b/src/instance.rs
@@ -14,7 +14,7 @@
   platform::Client,
   pool::Pool,
   reduce::reduce,
-  request::{Ask, Work},
+  request::{Descriptor, Work},
   settings::Settings,
   shared::{Directive, Input, Shared},
   state::{Identity, State},
@@ -256,7 +256,7 @@
       let (shared, id) = (shared.clone(), id.clone());
       move || {
         let (ticket, directives) = shared.open_ticket();
-        let ask = Ask {
+        let ask = Descriptor {
           ticket,
           work: Work::Model { model },
           class,
--- a/src/measures.rs
+++ b/src/measures.rs
@@ -103,8 +103,8 @@
 
   /// A request was refused.
   pub fn refusal(&self, refusal: &Refusal) {
-    let reason = label("reason", refusal.reason.word());
-    let verdict = label("verdict", refusal.verdict.word());
+    let reason = label("reason", refusal.reason.as_str());
+    let verdict = label("verdict", refusal.verdict.as_str());
     self.refusals.add(1, &[reason, verdict]);
   }
 
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -71,11 +71,11 @@
         1,
         &[
           label("policy", policy),
-          label("reason", reason.word()),
-          label("verdict", verdict.word()),
+          label("reason", reason.as_str()),
+          label("verdict", verdict.as_str()),
         ],
       ),
-      Entry::Retried { verdict } => self.retries.add(1, &[label("verdict", verdict.word())]),
+      Entry::Retried { verdict } => self.retries.add(1, &[label("verdict", verdict.as_str())]),
       Entry::Decided { policy, .. } => self.decisions.add(1, &[label("policy", policy)]),
       Entry::Retiring { why, .. } => self.unloads.add(1, &[label("why", why)]),
       Entry::Idle {
--- a/src/outbound.rs
+++ b/src/outbound.rs
@@ -3,7 +3,7 @@
 
 use crate::{
   clock::Moment,
-  http::{Body, Framing, Headers, Request, Response},
+  http::{Decoder, Framing, Headers, Request, Response},
   socket::{Fill, Socket},
 };
 use std::{
@@ -49,14 +49,14 @@
   pub headers: &'a [(&'a str, &'a str)],
   pub body: &'a [u8],
   /// Time for connecting.
-  pub connect: Duration,
+  pub connect_timeout: Duration,
   /// Longest wait for the answer's next bytes.
-  pub answer: Duration,
+  pub read_timeout: Duration,
   /// Time for the whole answer.
-  pub whole: Duration,
+  pub total_timeout: Duration,
   /// The call goes out before this moment or not at all, however long the process
   /// stood still while it connected.
-  pub before: Option<Moment>,
+  pub send_before: Option<Moment>,
 }
 
 /// Makes calls; connections are kept for the next one.
@@ -70,7 +70,7 @@
     let mut kept = self.kept.lock().unwrap_or_else(PoisonError::into_inner);
     let sockets = kept.get_mut(&address)?;
     while let Some((mut socket, since)) = sockets.pop() {
-      if since.elapsed() < REST_MOST && socket.quiet() {
+      if since.elapsed() < REST_MOST && socket.is_idle() {
         return Some(socket);
       }
     }
@@ -89,9 +89,12 @@
   pub fn send(&self, address: SocketAddr, call: &Call) -> Result<Answer, Failure> {
     let mut socket = match self.kept(address) {
       Some(socket) => socket,
-      None => Socket::connect(address, call.connect).map_err(|error| not_sent(&error))?,
+      None => Socket::connect(address, call.connect_timeout).map_err(|error| not_sent(&error))?,
     };
-    if call.before.is_some_and(|before| Moment::now() >= before) {
+    if call
+      .send_before
+      .is_some_and(|before| Moment::now() >= before)
+    {
       return Err(Failure::NotSent);
     }
     let (answer, keep) = exchange(&mut socket, address, call).map_err(|_| Failure::NoAnswer)?;
@@ -110,8 +113,8 @@
 }
 
 fn exchange(socket: &mut Socket, address: SocketAddr, call: &Call) -> io::Result<(Answer, bool)> {
-  let last = Moment::now() + call.whole;
-  let until = || last.min(Moment::now() + call.answer);
+  let last = Moment::now() + call.total_timeout;
+  let until = || last.min(Moment::now() + call.read_timeout);
   let mut request = Request {
     method: call.method.into(),
     target: call.target.into(),
@@ -138,34 +141,34 @@
         }
       }
       None => match socket.fill_by(until())? {
-        Fill::End => return Err(io::ErrorKind::UnexpectedEof.into()),
-        Fill::Some | Fill::Empty => {}
+        Fill::Eof => return Err(io::ErrorKind::UnexpectedEof.into()),
+        Fill::Data | Fill::Empty => {}
       },
     }
   };
   let framing = head
     .framing(call.method)
     .map_err(|fault| io::Error::other(fault.0))?;
-  let mut body = Body::open(framing);
+  let mut body = Decoder::new(framing);
   let mut out = Vec::new();
   loop {
     body
-      .take(&mut socket.input, &mut out)
+      .decode(&mut socket.input, &mut out)
       .map_err(|fault| io::Error::other(fault.0))?;
-    if body.done() {
+    if body.is_complete() {
       break;
     }
     if out.len() > ANSWER_MOST {
       return Err(io::ErrorKind::InvalidData.into());
     }
-    if socket.fill_by(until())? == Fill::End {
-      if body.end() {
+    if socket.fill_by(until())? == Fill::Eof {
+      if body.finish() {
         break;
       }
       return Err(io::ErrorKind::UnexpectedEof.into());
     }
   }
-  let keep = head.keeps() && framing != Framing::Close;
+  let keep = head.keep_alive() && framing != Framing::Close;
   let answer = Answer {
     status: head.status,
     headers: head.headers,
--- a/src/planner.rs
+++ b/src/planner.rs
@@ -24,7 +24,7 @@
   quota::{Accounts, Bound, Sums},
   replication::Known,
   settings::{Routing, Settings},
-  socket::{Bell, Want, wait},
+  socket::{Interest, Waker, wait},
   statement::Reply,
   store,
 };
@@ -150,7 +150,7 @@
   asks: Pool,
   done: Sender<Done>,
   finished: Receiver<Done>,
-  bell: Arc<Bell>,
+  bell: Arc<Waker>,
   pub(crate) reported: u64,
   pub(crate) last: Option<Report>,
   /// When policies are read next, ms.
@@ -216,7 +216,7 @@
     asks: Pool::spawn("ask", ASK_THREADS)?,
     done,
     finished,
-    bell: Arc::new(Bell::open()?),
+    bell: Arc::new(Waker::new()?),
     reported: 0,
     last: None,
     policies_at: 0,
@@ -285,9 +285,9 @@
       let until = self.hub.instant(due);
       let waited = wait(
         [
-          Some((&self.socket, Want::Read)),
-          Some((&self.hub.want_bell, Want::Read)),
-          Some((&*self.bell, Want::Read)),
+          Some((&self.socket, Interest::Read)),
+          Some((&self.hub.want_bell, Interest::Read)),
+          Some((&*self.bell, Interest::Read)),
         ],
         until,
       );
@@ -530,7 +530,7 @@
     self.calls.run(move || {
       let policies = edge.store.all(edge.kinds.policies);
       let _ = done.send(Done::Policies(policies.map(|(objects, _)| objects)));
-      bell.ring();
+      bell.wake();
     });
   }
 
@@ -574,7 +574,7 @@
       };
       // The planner's thread lives as long as the process.
       let _ = done.send(Done::Quarantine(call, result));
-      bell.ring();
+      bell.wake();
     });
   }
 
@@ -602,7 +602,7 @@
       };
       // The planner's thread lives as long as the process.
       let _ = done.send(Done::Lease(index, call, result));
-      bell.ring();
+      bell.wake();
     });
   }
 
@@ -673,7 +673,7 @@
       // A pause between decision and sending must not let an order out late.
       let reply = (edge.order)(&command, hub.instant(until));
       let _ = done.send(Done::Ordered(index, command, reply));
-      bell.ring();
+      bell.wake();
     });
   }
 
@@ -682,7 +682,7 @@
     self.asks.run(move || {
       let reply = (edge.report)(address, &id);
       let _ = done.send(Done::Asked(index, id, reply));
-      bell.ring();
+      bell.wake();
     });
   }
 }
--- a/src/platform.rs
+++ b/src/platform.rs
@@ -116,7 +116,7 @@
     Self {
       address: settings.platform.clone(),
       agent: config.new_agent(),
-      bucket: Mutex::new(Bucket::open(settings.limits.platform_rate, Moment::now())),
+      bucket: Mutex::new(Bucket::new(settings.limits.platform_rate, Moment::now())),
       cache: Mutex::default(),
       longest: Duration::from_millis(settings.limits.platform_ms),
       calls: AtomicU64::new(0),
@@ -135,7 +135,7 @@
     loop {
       let now = Moment::now();
       let mut bucket = self.bucket.lock().unwrap_or_else(PoisonError::into_inner);
-      let wait = match bucket.take(urgent, now) {
+      let wait = match bucket.acquire(urgent, now) {
         Ok(()) => return true,
         Err(wait) => wait,
       };
--- a/src/refusal.rs
+++ b/src/refusal.rs
@@ -35,7 +35,7 @@
 
 impl Reason {
   /// The word sent to callers and used as a metric label.
-  pub fn word(self) -> &'static str {
+  pub fn as_str(self) -> &'static str {
     match self {
       Self::UnknownModel => "unknown-model",
       Self::QueueFull => "queue-full",
--- a/src/relay/answer.rs
+++ b/src/relay/answer.rs
@@ -3,7 +3,7 @@
 use super::{Outcome, Relay, outcome, severed};
 use crate::{
   dispatch::{Attempt, End, Event},
-  http::{Body, Framing, Response},
+  http::{Decoder, Framing, Response},
   socket::{Fill, Socket},
 };
 
@@ -18,14 +18,14 @@
     head: &Response,
     framing: Framing,
   ) -> Result<Outcome, Outcome> {
-    let mut body = Body::open(framing);
+    let mut body = Decoder::new(framing);
     let mut bytes = Vec::new();
     let mut any = false;
     loop {
-      if body.take(&mut socket.input, &mut bytes).is_err() {
+      if body.decode(&mut socket.input, &mut bytes).is_err() {
         return Err(outcome(End::Broken, "not an answer"));
       }
-      let whole = self.events.take(&bytes);
+      let whole = self.events.push(&bytes);
       bytes.clear();
       if !whole.is_empty() {
         if !std::mem::replace(&mut any, true) && self.first_ms.is_some() {
@@ -33,10 +33,10 @@
         }
         self.clock_event();
         // A part of an event that follows shows that the stream is not complete.
-        let last = body.done() && self.events.partial().is_empty();
+        let last = body.is_complete() && self.events.partial().is_empty();
         self.deliver(head, framing, &whole, last)?;
       }
-      if body.done() {
+      if body.is_complete() {
         if !self.events.partial().is_empty() {
           return Err(outcome(End::Broken, "stream ends within an event"));
         }
@@ -44,7 +44,7 @@
         return Ok(outcome(End::Whole, "whole stream"));
       }
       let until = self.stall(any);
-      if self.hear(socket, until)? == Fill::End && !body.end() {
+      if self.hear(socket, until)? == Fill::Eof && !body.finish() {
         return Err(severed("stream broken off"));
       }
     }
@@ -71,20 +71,20 @@
     framing: Framing,
     attempt: &Attempt,
   ) -> Result<Outcome, Outcome> {
-    let mut body = Body::open(framing);
+    let mut body = Decoder::new(framing);
     let mut bytes = Vec::new();
     let until = self.stall(false);
     loop {
-      if body.take(&mut socket.input, &mut bytes).is_err() {
+      if body.decode(&mut socket.input, &mut bytes).is_err() {
         return Err(outcome(End::Broken, "not an answer"));
       }
-      if body.done() {
+      if body.is_complete() {
         break;
       }
       if bytes.len() > HELD {
         self.deliver(&head, framing, &std::mem::take(&mut bytes), false)?;
       }
-      if self.hear(socket, until)? == Fill::End && !body.end() {
+      if self.hear(socket, until)? == Fill::Eof && !body.finish() {
         return Err(severed("answer broken off"));
       }
     }
--- a/src/relay/caller.rs
+++ b/src/relay/caller.rs
@@ -4,10 +4,10 @@
 use crate::{
   clock::Moment,
   dispatch::End,
-  http::{Framing, LAST_CHUNK, Response, chunk},
+  http::{Framing, LAST_CHUNK, Response, encode_chunk},
   hub::Mailbox,
   refusal::Refusal,
-  socket::{Fill, Want, wait},
+  socket::{Fill, Interest, wait},
 };
 use slog::info;
 use std::{io, time::Duration};
@@ -33,8 +33,8 @@
     loop {
       // What a caller sends ahead is left in its socket.
       let listen = self.caller.input.is_empty();
-      let caller = listen.then_some((&self.caller.stream as &dyn rustix::fd::AsFd, Want::Read));
-      let [called, rung] = wait([caller, Some((&mailbox.bell, Want::Read))], until)?;
+      let caller = listen.then_some((&self.caller.stream as &dyn rustix::fd::AsFd, Interest::Read));
+      let [called, rung] = wait([caller, Some((&mailbox.bell, Interest::Read))], until)?;
       if rung {
         mailbox.bell.clear();
         return Ok(true);
@@ -48,8 +48,8 @@
 
   pub(super) fn hear_caller(&mut self) -> io::Result<()> {
     match self.caller.fill()? {
-      Fill::End => Err(io::ErrorKind::ConnectionReset.into()),
-      Fill::Some | Fill::Empty => Ok(()),
+      Fill::Eof => Err(io::ErrorKind::ConnectionReset.into()),
+      Fill::Data | Fill::Empty => Ok(()),
     }
   }
 
@@ -67,7 +67,7 @@
       false => Framing::Length(bytes.len() as u64),
     };
     let mut head = head.clone();
-    head.headers.remove_hop();
+    head.headers.remove_hop_by_hop();
     let mut answer = head.encode(framing, self.keeps());
     answer.extend_from_slice(&bytes);
     self.first_ms.get_or_insert(self.hub.now());
@@ -91,7 +91,7 @@
         _ => Framing::Chunked,
       };
       let mut head = head.clone();
-      head.headers.remove_hop();
+      head.headers.remove_hop_by_hop();
       answer = head.encode(framing, self.keeps());
       self.begun = Some(framing);
       if framing == Framing::Close {
@@ -99,7 +99,7 @@
       }
     }
     match self.begun {
-      Some(Framing::Chunked) if !bytes.is_empty() => answer.extend_from_slice(&chunk(bytes)),
+      Some(Framing::Chunked) if !bytes.is_empty() => answer.extend_from_slice(&encode_chunk(bytes)),
       _ => answer.extend_from_slice(bytes),
     }
     if last && self.begun == Some(Framing::Chunked) {
@@ -133,7 +133,7 @@
   pub(super) fn refuse(&mut self, refusal: Refusal) {
     self.hub.measures.refusal(&refusal);
     info!(self.hub.log, "refused"; "request" => &self.id, "route" => &self.incoming.route.name,
-      "reason" => refusal.reason.word(), "verdict" => refusal.verdict.word(),
+      "reason" => refusal.reason.as_str(), "verdict" => refusal.verdict.as_str(),
       "model" => self.model(), "begun" => self.begun.is_some(),
       "waited_ms" => self.hub.now() - self.incoming.arrived);
     if self.begun.is_some() {
--- a/src/relay/mod.rs
+++ b/src/relay/mod.rs
@@ -19,7 +19,7 @@
   request::Ticket,
   route::Route,
   socket::Socket,
-  sse::Events,
+  sse::Parser,
   statement::Said,
   verdict::Verdict,
 };
@@ -61,7 +61,7 @@
   ticket: Ticket,
   /// The answer's head has gone to the caller.
   begun: Option<Framing>,
-  events: Events,
+  events: Parser,
   first_ms: Option<u64>,
   /// It has waited for a server.
   waited: bool,
@@ -134,7 +134,7 @@
     content,
     caller: incoming.caller,
   };
-  let keep = incoming.head.keeps() && !hub.stopping.load(Ordering::Relaxed);
+  let keep = incoming.head.keep_alive() && !hub.stopping.load(Ordering::Relaxed);
   let mut relay = Relay {
     hub,
     caller,
@@ -144,7 +144,7 @@
     until,
     ticket,
     begun: None,
-    events: Events::default(),
+    events: Parser::default(),
     first_ms: None,
     waited: false,
     event_ms: 0,
@@ -262,7 +262,7 @@
       "server" => &attempt.id, "limit" => &self.said.limit,
       "leaving" => &self.said.leaving, "retry_after" => &self.said.retry_after,
       "head_ms" => self.head_ms.map(|at| at.saturating_sub(sent)), "send" => attempt.number, "end" => format!("{:?}", result.end),
-      "why" => result.why, "verdict" => result.end.verdict().word(),
+      "why" => result.why, "verdict" => result.end.verdict().as_str(),
       "waited_ms" => sent.saturating_sub(self.incoming.arrived), "took_ms" => now - sent,
       "first_ms" => self.first_ms.map(|at| at - self.incoming.arrived),
       "events" => self.events.count, "pause_ms" => self.pause_ms,
--- a/src/relay/send.rs
+++ b/src/relay/send.rs
@@ -4,9 +4,9 @@
 use crate::{
   clock::Moment,
   dispatch::{Attempt, End, Event},
-  http::{Body, Framing, Request, Response},
+  http::{Decoder, Framing, Request, Response},
   limit,
-  socket::{Fill, Socket, Want, wait},
+  socket::{Fill, Interest, Socket, wait},
   statement::{REPLACED, Said},
 };
 use slog::warn;
@@ -69,7 +69,7 @@
     if let Some(end) = self.hub.bars(self.incoming.caller.as_ref()) {
       return outcome(end, "key taken away, or not surely known");
     }
-    self.events.cut();
+    self.events.discard_partial();
     let sent = self.hub.now();
     let result = self.exchange(&mut socket, attempt);
     let result = result.map_err(|result| self.look_for_crash(result, sent, attempt));
@@ -126,7 +126,7 @@
   fn outgoing(&self, attempt: &Attempt) -> Vec<u8> {
     let dialect = &self.hub.dialect;
     let mut head = self.incoming.head.clone();
-    head.headers.remove_hop();
+    head.headers.remove_hop_by_hop();
     head.headers.remove("expect");
     for name in dialect.reserved {
       head.headers.remove(name);
@@ -170,8 +170,8 @@
     let moment = self.hub.instant(until);
     loop {
       let listen = self.caller.input.is_empty();
-      let caller = listen.then_some((&self.caller.stream as &dyn rustix::fd::AsFd, Want::Read));
-      let server = Some((&socket.stream as &dyn rustix::fd::AsFd, Want::Read));
+      let caller = listen.then_some((&self.caller.stream as &dyn rustix::fd::AsFd, Interest::Read));
+      let server = Some((&socket.stream as &dyn rustix::fd::AsFd, Interest::Read));
       let waited = wait([caller, server], moment);
       let Ok([called, served]) = waited else {
         return Err(outcome(End::Broken, "wait failed"));
@@ -200,7 +200,7 @@
     let mut left = bytes;
     let until = self.hub.instant(self.stall(false));
     loop {
-      match socket.push(left) {
+      match socket.try_write(left) {
         Ok(length) => left = &left[length..],
         // What came before the break may be an answer.
         Err(_) => return Ok(false),
@@ -208,8 +208,8 @@
       if left.is_empty() {
         return Ok(true);
       }
-      let server = Some((&socket.stream as &dyn rustix::fd::AsFd, Want::Write));
-      let answer = Some((&socket.stream as &dyn rustix::fd::AsFd, Want::Read));
+      let server = Some((&socket.stream as &dyn rustix::fd::AsFd, Interest::Write));
+      let answer = Some((&socket.stream as &dyn rustix::fd::AsFd, Interest::Read));
       let Ok([writable, readable]) = wait([server, answer], until) else {
         return Err(outcome(End::Broken, "wait failed"));
       };
@@ -232,7 +232,7 @@
         return Err(outcome(End::Broken, "not an answer"));
       };
       let Some((head, length)) = parsed else {
-        if self.hear(socket, until)? == Fill::End {
+        if self.hear(socket, until)? == Fill::Eof {
           return Err(severed("connection closed by server"));
         }
         continue;
@@ -253,17 +253,17 @@
   }
 
   fn skip(&mut self, socket: &mut Socket, framing: Framing, until: u64) -> Result<(), Outcome> {
-    let mut body = Body::open(framing);
+    let mut body = Decoder::new(framing);
     let mut out = Vec::new();
     loop {
-      if body.take(&mut socket.input, &mut out).is_err() {
+      if body.decode(&mut socket.input, &mut out).is_err() {
         return Err(outcome(End::Broken, "not an answer"));
       }
       out.clear();
-      if body.done() {
+      if body.is_complete() {
         return Ok(());
       }
-      if self.hear(socket, until)? == Fill::End {
+      if self.hear(socket, until)? == Fill::Eof {
         return Err(outcome(End::Broken, "connection closed by server"));
       }
     }
@@ -301,9 +301,9 @@
         Ok(None) => {}
         Err(_) => return,
       }
-      let server = Some((&socket.stream as &dyn rustix::fd::AsFd, Want::Read));
+      let server = Some((&socket.stream as &dyn rustix::fd::AsFd, Interest::Read));
       let served = matches!(wait([None, server], until), Ok([_, true]));
-      if !served || !matches!(socket.fill(), Ok(Fill::Some)) {
+      if !served || !matches!(socket.fill(), Ok(Fill::Data)) {
         return;
       }
     }
@@ -338,7 +338,7 @@
     if success && head.headers.get("content-encoding").is_some() {
       return Err(outcome(End::Broken, "answer in an encoding not asked for"));
     }
-    let reuse = match written && head.keeps() && framing != Framing::Close {
+    let reuse = match written && head.keep_alive() && framing != Framing::Close {
       true => Reuse::Within(rest_allowed(&head)),
       false => Reuse::No,
     };
--- a/src/reply.rs
+++ b/src/reply.rs
@@ -3,7 +3,7 @@
 use crate::{
   batch::Item,
   refusal::{Reason, Refusal},
-  web::{Parts, Request},
+  web::{Request, Writer},
 };
 use serde_json::{Value, json};
 use std::io::Read;
@@ -26,9 +26,9 @@
 pub fn refusal_body(refusal: Refusal) -> Value {
   json!({ "error": {
     "type": "refused",
-    "message": format!("refused: {}", refusal.reason.word()),
-    "reason": refusal.reason.word(),
-    "verdict": refusal.verdict.word(),
+    "message": format!("refused: {}", refusal.reason.as_str()),
+    "reason": refusal.reason.as_str(),
+    "verdict": refusal.verdict.as_str(),
     "retry_after_ms": refusal.retry_after,
   } })
 }
@@ -101,7 +101,7 @@
   /// No byte has been sent.
   Untouched(&'a mut Request),
   /// The head of a stream has been sent.
-  Stream(&'a mut Request, Parts),
+  Stream(&'a mut Request, Writer),
   /// Kept here, for a batch.
   Gather,
   /// Ended.
@@ -164,8 +164,8 @@
   /// Whether the caller has gone; found without sending anything.
   pub fn gone(&self) -> bool {
     match &self.output {
-      Output::Untouched(request) => request.gone(),
-      Output::Stream(request, _) => request.gone(),
+      Output::Untouched(request) => request.is_disconnected(),
+      Output::Stream(request, _) => request.is_disconnected(),
       Output::Gather | Output::Closed => false,
     }
   }
@@ -253,7 +253,7 @@
         reason: reason @ Reason::UnknownModel,
         ..
       }) => Item::Refused {
-        reason: reason.word().into(),
+        reason: reason.as_str().into(),
       },
       // A completion may run again, so no verdict ends an item.
       Some(_) => Item::Waiting,
--- a/src/request.rs
+++ b/src/request.rs
@@ -31,7 +31,7 @@
 
 /// A request waiting for its dispatch.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Ask {
+pub struct Descriptor {
   pub ticket: Ticket,
   pub work: Work,
   pub class: Class,
--- a/src/services.rs
+++ b/src/services.rs
@@ -2,11 +2,11 @@
 
 use crate::{
   attempt::{Attempt, End},
-  call::{self, Waits},
-  callers::{busy, next, terms},
+  call::{self, Timeouts},
+  callers::{next_directive, parse_options, queue_full},
   event::Event,
   reply,
-  request::{Ask, Work},
+  request::{Descriptor, Work},
   shared::{Directive, Shared, ended},
   verdict::Verdict,
   web::Request,
@@ -16,7 +16,7 @@
 
 /// Carries a plain service's call.
 pub fn serve(shared: &Shared, request: &mut Request, service: &str, path: &str) {
-  let terms = match terms(shared, request, None) {
+  let terms = match parse_options(shared, request, None) {
     Ok(terms) => terms,
     Err(text) => return reply::error(request, 400, "invalid_request", &text),
   };
@@ -30,7 +30,7 @@
     .unwrap_or("application/octet-stream")
     .to_string();
   let (ticket, directives) = shared.open_ticket();
-  shared.notify(Event::RequestArrived(Ask {
+  shared.notify(Event::RequestArrived(Descriptor {
     ticket,
     work: Work::Service {
       service: service.into(),
@@ -43,7 +43,7 @@
   }));
   let id = format!("{}/{}/{}", shared.settings.instance, shared.boot, ticket.0);
   loop {
-    match next(shared, &directives, terms.deadline) {
+    match next_directive(shared, &directives, terms.deadline) {
       Some(Directive::Send(attempt)) => {
         let outgoing = outgoing(request, &attempt, path, &content, &id);
         if let Some(answer) = call_once(shared, &attempt, outgoing) {
@@ -60,7 +60,7 @@
         break;
       }
       Some(Directive::Batch(_)) | None => {
-        reply::refuse(request, busy());
+        reply::refuse(request, queue_full());
         break;
       }
     }
@@ -104,9 +104,9 @@
   request: Result<ureq::http::Request<Vec<u8>>, call::Failure>,
 ) -> Option<reply::Answer> {
   let stall = Duration::from_millis(shared.settings.limits.token_stall_ms);
-  let waits = Waits {
+  let waits = Timeouts {
     connect: Duration::from_millis(shared.settings.limits.connect_ms),
-    answer: stall,
+    response: stall,
     read: stall,
   };
   let response = match request.and_then(|request| call::send(request, waits)) {
--- a/src/signals.rs
+++ b/src/signals.rs
@@ -1,7 +1,7 @@
 //! Signals that ask for a planned stop or for the settings to be read again.
 
 use crate::clock::Moment;
-use crate::socket::{Want, wait};
+use crate::socket::{Interest, wait};
 use signal_hook::{
   consts::{SIGHUP, SIGINT, SIGTERM},
   low_level::pipe,
@@ -43,8 +43,8 @@
     loop {
       let until = Moment::now() + WAIT;
       let waits = [
-        Some((&self.stop as _, Want::Read)),
-        Some((&self.reload as _, Want::Read)),
+        Some((&self.stop as _, Interest::Read)),
+        Some((&self.reload as _, Interest::Read)),
       ];
       let [stop, reload] = wait(waits, until)?;
       // A byte a signal.
--- a/src/socket.rs
+++ b/src/socket.rs
@@ -22,17 +22,17 @@
 
 /// Wakes a thread that waits for sockets.
 #[derive(Debug)]
-pub struct Bell(OwnedFd);
+pub struct Waker(OwnedFd);
 
-impl Bell {
+impl Waker {
   /// A bell that has not rung.
-  pub fn open() -> io::Result<Self> {
+  pub fn new() -> io::Result<Self> {
     let flags = EventfdFlags::NONBLOCK | EventfdFlags::CLOEXEC;
     Ok(Self(eventfd(0, flags)?))
   }
 
   /// Wakes whoever waits, now or later.
-  pub fn ring(&self) {
+  pub fn wake(&self) {
     // A full counter has rung already.
     let _ = rustix::io::write(&self.0, &1u64.to_ne_bytes());
   }
@@ -44,7 +44,7 @@
   }
 }
 
-impl AsFd for Bell {
+impl AsFd for Waker {
   fn as_fd(&self) -> rustix::fd::BorrowedFd<'_> {
     self.0.as_fd()
   }
@@ -52,14 +52,14 @@
 
 /// What a wait is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Want {
+pub enum Interest {
   Read,
   Write,
 }
 
 /// Waits until one is ready or the time has come; returns which are ready.
 pub fn wait<const N: usize>(
-  waits: [Option<(&dyn AsFd, Want)>; N],
+  waits: [Option<(&dyn AsFd, Interest)>; N],
   until: Moment,
 ) -> io::Result<[bool; N]> {
   let mut ready = [false; N];
@@ -68,8 +68,8 @@
   for (place, wait) in waits.iter().enumerate() {
     if let Some((fd, want)) = wait {
       let flags = match want {
-        Want::Read => PollFlags::IN,
-        Want::Write => PollFlags::OUT,
+        Interest::Read => PollFlags::IN,
+        Interest::Write => PollFlags::OUT,
       };
       fds.push(PollFd::from_borrowed_fd(fd.as_fd(), flags));
       places.push(place);
@@ -96,11 +96,11 @@
 /// What a read brought.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fill {
-  Some,
+  Data,
   /// Nothing yet.
   Empty,
   /// The peer has ended its side in order.
-  End,
+  Eof,
 }
 
 /// A connection that never blocks, with what has arrived on it.
@@ -152,10 +152,10 @@
     let mut bytes = [0; READ];
     loop {
       match self.stream.read(&mut bytes) {
-        Ok(0) => return Ok(Fill::End),
+        Ok(0) => return Ok(Fill::Eof),
         Ok(length) => {
           self.input.extend_from_slice(&bytes[..length]);
-          return Ok(Fill::Some);
+          return Ok(Fill::Data);
         }
         Err(error) if error.kind() == io::ErrorKind::WouldBlock => return Ok(Fill::Empty),
         Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
@@ -165,7 +165,7 @@
   }
 
   /// Writes what the system takes now; returns how much.
-  pub fn push(&mut self, bytes: &[u8]) -> io::Result<usize> {
+  pub fn try_write(&mut self, bytes: &[u8]) -> io::Result<usize> {
     loop {
       match self.stream.write(bytes) {
         Ok(0) => return Err(io::ErrorKind::WriteZero.into()),
@@ -180,12 +180,12 @@
   /// Writes everything by a moment.
   pub fn write_all(&mut self, mut bytes: &[u8], until: Moment) -> io::Result<()> {
     loop {
-      let length = self.push(bytes)?;
+      let length = self.try_write(bytes)?;
       bytes = &bytes[length..];
       if bytes.is_empty() {
         return Ok(());
       }
-      let [ready] = wait([Some((&self.stream, Want::Write))], until)?;
+      let [ready] = wait([Some((&self.stream, Interest::Write))], until)?;
       if !ready {
         return Err(io::ErrorKind::TimedOut.into());
       }
@@ -194,7 +194,7 @@
 
   /// Waits for bytes by a moment and takes them.
   pub fn fill_by(&mut self, until: Moment) -> io::Result<Fill> {
-    let [ready] = wait([Some((&self.stream, Want::Read))], until)?;
+    let [ready] = wait([Some((&self.stream, Interest::Read))], until)?;
     match ready {
       true => self.fill(),
       false => Err(io::ErrorKind::TimedOut.into()),
@@ -202,7 +202,7 @@
   }
 
   /// Whether nothing has arrived and the peer has not ended the connection.
-  pub fn quiet(&mut self) -> bool {
+  pub fn is_idle(&mut self) -> bool {
     self.input.is_empty() && matches!(self.fill(), Ok(Fill::Empty))
   }
 }
--- a/src/sse.rs
+++ b/src/sse.rs
@@ -3,7 +3,7 @@
 
 /// Takes a stream apart as its bytes arrive.
 #[derive(Clone, Debug, Default)]
-pub struct Events {
+pub struct Parser {
   partial: Vec<u8>,
   /// Id of the last whole event.
   pub last_id: Option<String>,
@@ -11,9 +11,9 @@
   pub count: u64,
 }
 
-impl Events {
+impl Parser {
   /// Takes bytes and gives those that complete events.
-  pub fn take(&mut self, bytes: &[u8]) -> Vec<u8> {
+  pub fn push(&mut self, bytes: &[u8]) -> Vec<u8> {
     let before = self.partial.len();
     self.partial.extend_from_slice(bytes);
     let Some(end) = last_end(&self.partial, before) else {
@@ -39,7 +39,7 @@
   }
 
   /// Forgets the event whose end did not arrive.
-  pub fn cut(&mut self) {
+  pub fn discard_partial(&mut self) {
     self.partial.clear();
   }
 }
--- a/src/state.rs
+++ b/src/state.rs
@@ -15,7 +15,7 @@
   members::Members,
   policy::Policy,
   replica::{Id, Replica},
-  request::{Ask, Ticket},
+  request::{Descriptor, Ticket},
   server::{self, Server},
   settings::Limits,
   verdict::Verdict,
@@ -42,7 +42,7 @@
 /// A request that has arrived and has no final response yet.
 #[derive(Clone, Debug)]
 pub struct Request {
-  pub descriptor: Ask,
+  pub descriptor: Descriptor,
   /// Group of a model request; `None` for a service call.
   pub group: Option<group::Key>,
   /// Number of attempts started.
--- a/src/submissions.rs
+++ b/src/submissions.rs
@@ -2,7 +2,7 @@
 
 use crate::{
   batch::{BATCH_LIMIT, Batch, Change, Item},
-  callers::{DEADLINE_MOST, next, terms},
+  callers::{MAX_DEADLINE_MS, next_directive, parse_options},
   completions::MAX_TOKENS,
   event::Event,
   refusal::{Reason, Refusal},
@@ -33,7 +33,7 @@
   let parsed = serde_json::from_slice::<BatchBody>(&request.body)
     .map_err(|error| format!("body: {error}"))
     .and_then(check_batch)
-    .and_then(|body| Ok((terms(shared, request, None)?, body)));
+    .and_then(|body| Ok((parse_options(shared, request, None)?, body)));
   let (terms, body) = match parsed {
     Ok(parsed) => parsed,
     Err(text) => return reply::error(request, 400, "invalid_request", &text),
@@ -71,9 +71,9 @@
     ));
   }
   let window = body.completion_window_ms;
-  if window == 0 || window > DEADLINE_MOST {
+  if window == 0 || window > MAX_DEADLINE_MS {
     return Err(format!(
-      "completion_window_ms: `{window}` is not within 1..={DEADLINE_MOST}"
+      "completion_window_ms: `{window}` is not within 1..={MAX_DEADLINE_MS}"
     ));
   }
   Ok(body)
@@ -88,7 +88,7 @@
     id: id.into(),
     change,
   });
-  let directive = next(shared, &directives, shared.now());
+  let directive = next_directive(shared, &directives, shared.now());
   shared.close_ticket(ticket);
   match directive {
     Some(Directive::Batch(Outcome::Applied(stored))) => match stored.value {
--- a/src/upstream.rs
+++ b/src/upstream.rs
@@ -48,7 +48,7 @@
     let kept = pool.get_mut(key)?;
     while let Some(mut last) = kept.pop() {
       let most = if once { REST_ONCE } else { REST_MOST };
-      if last.since.elapsed() < last.rest.min(most) && last.socket.quiet() {
+      if last.since.elapsed() < last.rest.min(most) && last.socket.is_idle() {
         return Some(last.socket);
       }
     }
--- a/src/verdict.rs
+++ b/src/verdict.rs
@@ -14,7 +14,7 @@
 
 impl Verdict {
   /// The word sent to callers and used as a metric label.
-  pub fn word(self) -> &'static str {
+  pub fn as_str(self) -> &'static str {
     match self {
       Self::NotRun => "not-run",
       Self::MayHaveRun => "may-have-run",
--- a/src/web.rs
+++ b/src/web.rs
@@ -29,20 +29,20 @@
 
 /// Bounds on what callers may use.
 #[derive(Clone, Copy, Debug)]
-pub struct Bounds {
+pub struct Limits {
   pub connections: usize,
   /// Bytes of a request's head.
-  pub head: usize,
+  pub head_bytes: usize,
   /// Bytes of a request's body.
-  pub body: usize,
+  pub body_bytes: usize,
   /// From the first byte of a request to its last.
-  pub arrive: Duration,
+  pub request_timeout: Duration,
   /// Between two requests of a connection.
-  pub idle: Duration,
+  pub idle_timeout: Duration,
   /// For a caller that does not read.
-  pub stall: Duration,
+  pub write_timeout: Duration,
   /// Stack of a connection's thread, bytes.
-  pub stack: usize,
+  pub stack_bytes: usize,
 }
 
 /// Why a request could not be read.
@@ -119,10 +119,10 @@
   }
 
   /// Begins an answer whose parts leave as they are written.
-  pub fn stream(&mut self, headers: &[(&str, &str)]) -> io::Result<Parts> {
+  pub fn stream(&mut self, headers: &[(&str, &str)]) -> io::Result<Writer> {
     let text = head(200, headers, "transfer-encoding: chunked", self.keep);
     self.stream.write_all(text.as_bytes())?;
-    Ok(Parts {
+    Ok(Writer {
       encoder: Encoder::new(self.stream.try_clone()?),
     })
   }
@@ -133,7 +133,7 @@
   }
 
   /// Whether the caller has closed its connection.
-  pub fn gone(&self) -> bool {
+  pub fn is_disconnected(&self) -> bool {
     let mut byte = [0];
     if self.stream.set_nonblocking(true).is_err() {
       return true;
@@ -146,11 +146,11 @@
 }
 
 /// An answer in parts.
-pub struct Parts {
+pub struct Writer {
   encoder: Encoder<TcpStream>,
 }
 
-impl Parts {
+impl Writer {
   /// Sends a part at once.
   pub fn send(&mut self, part: &str) -> io::Result<()> {
     self.encoder.write_all(part.as_bytes())?;
@@ -183,7 +183,7 @@
 /// callers beyond the bound on connections.
 pub fn bind(
   address: &str,
-  bounds: Bounds,
+  bounds: Limits,
   busy: String,
   handle: impl Fn(&mut Request) + Send + Sync + 'static,
 ) -> io::Result<SocketAddr> {
@@ -220,7 +220,7 @@
 fn admit<F: Fn(&mut Request) + Send + Sync + 'static>(
   stream: TcpStream,
   peer: SocketAddr,
-  bounds: Bounds,
+  bounds: Limits,
   busy: &str,
   open: &Arc<AtomicUsize>,
   handle: &Arc<F>,
@@ -233,7 +233,7 @@
   let (counted, handle) = (open.clone(), handle.clone());
   let builder = thread::Builder::new()
     .name("caller".into())
-    .stack_size(bounds.stack);
+    .stack_size(bounds.stack_bytes);
   let spawned = builder.spawn(move || {
     // However the connection ends, its place is free again.
     let _place = Place(counted);
@@ -265,10 +265,10 @@
   let _ = stream.write_all(format!("{text}{busy}").as_bytes());
 }
 
-fn serve(stream: TcpStream, peer: SocketAddr, bounds: Bounds, handle: &impl Fn(&mut Request)) {
+fn serve(stream: TcpStream, peer: SocketAddr, bounds: Limits, handle: &impl Fn(&mut Request)) {
   let ready = stream
     .set_nodelay(true)
-    .and_then(|()| stream.set_write_timeout(Some(bounds.stall)));
+    .and_then(|()| stream.set_write_timeout(Some(bounds.write_timeout)));
   let Ok(reading) = stream.try_clone() else {
     return;
   };
@@ -277,16 +277,16 @@
   }
   let timed = Timed {
     stream: reading,
-    until: Moment::now() + bounds.idle,
+    until: Moment::now() + bounds.idle_timeout,
   };
   let mut reader = BufReader::new(timed);
   let mut stream = stream;
   loop {
-    reader.get_mut().until = Moment::now() + bounds.idle;
+    reader.get_mut().until = Moment::now() + bounds.idle_timeout;
     if !matches!(reader.fill_buf(), Ok(bytes) if !bytes.is_empty()) {
       return;
     }
-    reader.get_mut().until = Moment::now() + bounds.arrive;
+    reader.get_mut().until = Moment::now() + bounds.request_timeout;
     let mut request = match read(&mut reader, &stream, peer, bounds) {
       Ok(request) => request,
       Err(fault) => return refuse(stream, &fault),
@@ -322,9 +322,9 @@
   reader: &mut BufReader<Timed>,
   stream: &TcpStream,
   peer: SocketAddr,
-  bounds: Bounds,
+  bounds: Limits,
 ) -> Result<Request, Fault> {
-  let text = read_head(reader, bounds.head)?;
+  let text = read_head(reader, bounds.head_bytes)?;
   let mut headers = [httparse::EMPTY_HEADER; HEADERS];
   let mut parsed = httparse::Request::new(&mut headers);
   let status = parsed.parse(&text);
@@ -349,7 +349,7 @@
   if request.header("expect").is_some() {
     request.stream.write_all(b"HTTP/1.1 100 Continue\r\n\r\n")?;
   }
-  request.body = read_body(reader, &request, bounds.body)?;
+  request.body = read_body(reader, &request, bounds.body_bytes)?;
   Ok(request)
 }
 
--- a/tests/answers.rs
+++ b/tests/answers.rs
@@ -101,9 +101,9 @@
   assert!(!reply.whole || reply.status != 200, "{reply:?}");
   let ran = runs(&fleet) > before;
   if ran {
-    assert_eq!(reply.verdict, Verdict::MayHaveRun.word(), "{reply:?}");
+    assert_eq!(reply.verdict, Verdict::MayHaveRun.as_str(), "{reply:?}");
   }
-  if reply.verdict == Verdict::NotRun.word() {
+  if reply.verdict == Verdict::NotRun.as_str() {
     assert!(!ran, "{reply:?}");
   }
   assert!(!reply.verdict.is_empty(), "{reply:?}");
@@ -120,7 +120,7 @@
   let reply = Ask::of("contracts", "refused", 5)
     .within(deadline)
     .send(fleet.callers(1));
-  assert_eq!(reply.verdict, Verdict::NotRun.word(), "{reply:?}");
+  assert_eq!(reply.verdict, Verdict::NotRun.as_str(), "{reply:?}");
   assert_eq!(runs(&fleet), before);
 }
 
--- a/tests/clock.rs
+++ b/tests/clock.rs
@@ -59,10 +59,10 @@
     target: "/order",
     headers: &[],
     body: b"{}",
-    connect: Duration::from_secs(1),
-    answer: Duration::from_millis(100),
-    whole: Duration::from_millis(100),
-    before: Some(Moment::now() + Duration::from_secs(2)),
+    connect_timeout: Duration::from_secs(1),
+    read_timeout: Duration::from_millis(100),
+    total_timeout: Duration::from_millis(100),
+    send_before: Some(Moment::now() + Duration::from_secs(2)),
   };
   skip(AWAY);
   let sent = Client::default().send(listener.local_addr().unwrap(), &call);
@@ -76,7 +76,7 @@
     window_ms: 10_000,
   };
   let state = State::open("a", bound, 1);
-  Hub::open(state, Dialect::OWN, Logger::root(Discard, o!())).unwrap()
+  Hub::open(state, Dialect::DEFAULT, Logger::root(Discard, o!())).unwrap()
 }
 
 #[test]
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -7,7 +7,7 @@
   object::{Kind, Name, Object},
   record,
   reduce::reduce,
-  request::{Ask, Class, Ticket, Work},
+  request::{Class, Descriptor, Ticket, Work},
   settings::Limits,
   state::{Identity, State},
   update::{Change, Outcome, Rejection, Stored, Value},
@@ -44,7 +44,7 @@
 }
 
 fn asked() -> Event {
-  Event::RequestArrived(Ask {
+  Event::RequestArrived(Descriptor {
     ticket: Ticket(1),
     work: Work::Model {
       model: "contracts".into(),
--- a/tests/entry.rs
+++ b/tests/entry.rs
@@ -27,7 +27,7 @@
     window_ms: 10_000,
   };
   let state = State::open("a", bound, 1);
-  Hub::open(state, Dialect::OWN, Logger::root(Discard, o!())).unwrap()
+  Hub::open(state, Dialect::DEFAULT, Logger::root(Discard, o!())).unwrap()
 }
 
 fn deploy(hub: &Hub, version: u64, body_bytes: usize, idle_time: Duration) {
--- a/tests/http.rs
+++ b/tests/http.rs
@@ -1,8 +1,8 @@
 //! Messages are taken apart strictly, however their bytes arrive.
 
 use bendsaddle::{
-  http::{Body, Framing, LAST_CHUNK, Request, Response, chunk},
-  sse::Events,
+  http::{Decoder, Framing, LAST_CHUNK, Request, Response, encode_chunk},
+  sse::Parser,
 };
 use quickcheck::quickcheck;
 
@@ -42,8 +42,8 @@
   let text = "GET / HTTP/1.1\r\nConnection: close, X-Mine\r\nX-Mine: 1\r\nKeep-Alive: timeout=5\r\n\
     TE: trailers\r\nX-Kept: 2\r\n\r\n";
   let (mut request, _) = Request::parse(text.as_bytes()).unwrap().unwrap();
-  assert!(!request.keeps());
-  request.headers.remove_hop();
+  assert!(!request.keep_alive());
+  request.headers.remove_hop_by_hop();
   let names: Vec<&str> = request
     .headers
     .0
@@ -59,13 +59,13 @@
   let (response, length) = Response::parse(text.as_bytes()).unwrap().unwrap();
   let framing = response.framing("GET").unwrap();
   assert_eq!(framing, Framing::Close);
-  let mut body = Body::open(framing);
+  let mut body = Decoder::new(framing);
   let mut out = Vec::new();
   body
-    .take(&mut text.as_bytes()[length..].to_vec(), &mut out)
+    .decode(&mut text.as_bytes()[length..].to_vec(), &mut out)
     .unwrap();
-  assert!(!body.done());
-  assert!(body.end());
+  assert!(!body.is_complete());
+  assert!(body.finish());
   assert_eq!(out, b"bytes");
 }
 
@@ -76,38 +76,40 @@
     (Framing::Chunked, "4\r\nfour\r\n".to_string()),
     (Framing::Chunked, "4\r\nfo".to_string()),
   ] {
-    let mut body = Body::open(framing);
-    body.take(&mut bytes.into_bytes(), &mut Vec::new()).unwrap();
-    assert!(!body.done() && !body.end(), "{framing:?}");
+    let mut body = Decoder::new(framing);
+    body
+      .decode(&mut bytes.into_bytes(), &mut Vec::new())
+      .unwrap();
+    assert!(!body.is_complete() && !body.finish(), "{framing:?}");
   }
 }
 
 quickcheck! {
   fn a_chunked_body_is_whole_however_it_arrives(pieces: Vec<Vec<u8>>, cuts: Vec<usize>) -> bool {
     let pieces: Vec<Vec<u8>> = pieces.into_iter().filter(|piece| !piece.is_empty()).collect();
-    let mut wire: Vec<u8> = pieces.iter().flat_map(|piece| chunk(piece)).collect();
+    let mut wire: Vec<u8> = pieces.iter().flat_map(|piece| encode_chunk(piece)).collect();
     wire.extend_from_slice(LAST_CHUNK);
     wire.extend_from_slice(b"next");
-    let mut body = Body::open(Framing::Chunked);
+    let mut body = Decoder::new(Framing::Chunked);
     let (mut input, mut out) = (Vec::new(), Vec::new());
     let mut cuts = cuts.into_iter();
     while !wire.is_empty() {
       let length = cuts.next().map_or(wire.len(), |cut| cut % wire.len() + 1);
       input.extend(wire.drain(..length));
-      body.take(&mut input, &mut out).unwrap();
+      body.decode(&mut input, &mut out).unwrap();
     }
-    body.done() && out == pieces.concat() && input == b"next"
+    body.is_complete() && out == pieces.concat() && input == b"next"
   }
 
   fn events_come_out_whole_however_they_arrive(count: u8, cuts: Vec<usize>) -> bool {
     let text: String = (0..count).map(|id| format!("id: {id}\ndata: x\n\n")).collect();
     let mut wire = text.clone().into_bytes();
-    let (mut events, mut out) = (Events::default(), Vec::new());
+    let (mut events, mut out) = (Parser::default(), Vec::new());
     let mut cuts = cuts.into_iter();
     while !wire.is_empty() {
       let length = cuts.next().map_or(wire.len(), |cut| cut % wire.len() + 1);
       let part: Vec<u8> = wire.drain(..length).collect();
-      let whole = events.take(&part);
+      let whole = events.push(&part);
       if !whole.is_empty() && !whole.ends_with(b"\n\n") {
         return false;
       }
@@ -120,11 +122,11 @@
 
 #[test]
 fn a_stream_cut_within_an_event_keeps_the_last_whole_one() {
-  let mut events = Events::default();
-  let whole = events.take(b"id: 1\ndata: a\n\nid: 2\nda");
+  let mut events = Parser::default();
+  let whole = events.push(b"id: 1\ndata: a\n\nid: 2\nda");
   assert_eq!(whole, b"id: 1\ndata: a\n\n");
   assert_eq!(events.last_id.as_deref(), Some("1"));
-  events.cut();
+  events.discard_partial();
   assert!(events.partial().is_empty());
   assert_eq!(events.last_id.as_deref(), Some("1"));
 }
--- a/tests/hub.rs
+++ b/tests/hub.rs
@@ -10,7 +10,7 @@
   request::Ticket,
   retry::Bound,
   route::{Part, Repeat, Route},
-  socket::{Want, wait},
+  socket::{Interest, wait},
 };
 use slog::{Discard, Logger, o};
 use std::{
@@ -55,7 +55,7 @@
     window_ms: 10_000,
   };
   let state = State::open("a", bound, 1);
-  let hub = Hub::open(state, Dialect::OWN, Logger::root(Discard, o!())).unwrap();
+  let hub = Hub::open(state, Dialect::DEFAULT, Logger::root(Discard, o!())).unwrap();
   let pool = Pool {
     engine: Some(Arc::new(Engine {
       slots: 8,
@@ -105,7 +105,7 @@
 fn decided(hub: &Hub, mailbox: &Mailbox, ticket: Ticket) -> bool {
   let mut directive = mailbox.take();
   while let Some(Directive::Wait(until)) = directive {
-    let [rung] = wait([Some((&mailbox.bell, Want::Read))], hub.instant(until)).unwrap();
+    let [rung] = wait([Some((&mailbox.bell, Interest::Read))], hub.instant(until)).unwrap();
     if rung {
       mailbox.bell.clear();
       directive = mailbox.take().or(directive);
--- a/tests/outbound.rs
+++ b/tests/outbound.rs
@@ -19,10 +19,10 @@
     target: "/",
     headers: &[],
     body: b"order",
-    connect: Duration::from_secs(5),
-    answer: Duration::from_secs(5),
-    whole: Duration::from_secs(5),
-    before: Some(bendsaddle::clock::Moment::now()),
+    connect_timeout: Duration::from_secs(5),
+    read_timeout: Duration::from_secs(5),
+    total_timeout: Duration::from_secs(5),
+    send_before: Some(bendsaddle::clock::Moment::now()),
   };
   let heard = thread::spawn(move || {
     let (mut stream, _) = listener.accept().unwrap();
@@ -50,10 +50,10 @@
     target: "/",
     headers: &[],
     body: &[],
-    connect: Duration::from_secs(5),
-    answer: silence,
-    whole: silence * 5,
-    before: None,
+    connect_timeout: Duration::from_secs(5),
+    read_timeout: silence,
+    total_timeout: silence * 5,
+    send_before: None,
   };
   thread::spawn(move || {
     let (mut stream, _) = listener.accept().unwrap();
@@ -79,10 +79,10 @@
     target: "/",
     headers: &[],
     body: &[],
-    connect: Duration::from_secs(5),
-    answer: Duration::from_millis(100),
-    whole: Duration::from_millis(500),
-    before: None,
+    connect_timeout: Duration::from_secs(5),
+    read_timeout: Duration::from_millis(100),
+    total_timeout: Duration::from_millis(500),
+    send_before: None,
   };
   thread::spawn(move || {
     let (mut stream, _) = listener.accept().unwrap();
@@ -107,10 +107,10 @@
     target: "/",
     headers: &[],
     body: &[],
-    connect: Duration::from_secs(5),
-    answer: Duration::from_secs(5),
-    whole: Duration::from_secs(5),
-    before: None,
+    connect_timeout: Duration::from_secs(5),
+    read_timeout: Duration::from_secs(5),
+    total_timeout: Duration::from_secs(5),
+    send_before: None,
   };
   let sent = Client::default().send(address, &call);
   assert_eq!(sent.err(), Some(Failure::Refused));
--- a/tests/policies.rs
+++ b/tests/policies.rs
@@ -283,10 +283,10 @@
 fn urgent_calls_have_a_part_of_the_budget_to_themselves() {
   use bendsaddle::bucket::Bucket;
   let start = bendsaddle::clock::Moment::now();
-  let mut bucket = Bucket::open(8, start);
+  let mut bucket = Bucket::new(8, start);
   let taken = |bucket: &mut Bucket, urgent| {
     (0..20)
-      .filter(|_| bucket.take(urgent, start).is_ok())
+      .filter(|_| bucket.acquire(urgent, start).is_ok())
       .count()
   };
   assert_eq!(taken(&mut bucket, false), 6);
@@ -294,7 +294,9 @@
   let later = start + std::time::Duration::from_secs(5);
   bucket.set_rate(4);
   assert_eq!(
-    (0..20).filter(|_| bucket.take(true, later).is_ok()).count(),
+    (0..20)
+      .filter(|_| bucket.acquire(true, later).is_ok())
+      .count(),
     4
   );
 }
--- a/tests/sends.rs
+++ b/tests/sends.rs
@@ -93,7 +93,7 @@
     window_ms: 10_000,
   };
   let state = State::open("a", bound, 1);
-  let hub = Hub::open(state, Dialect::OWN, Logger::root(Discard, o!())).unwrap();
+  let hub = Hub::open(state, Dialect::DEFAULT, Logger::root(Discard, o!())).unwrap();
   let deployment = Deployment {
     version: 1,
     routes: vec![route()],
--- a/tests/statements.rs
+++ b/tests/statements.rs
@@ -163,7 +163,7 @@
 fn said(name: &str, value: &str, status: u16) -> Said {
   let mut headers = Headers::default();
   headers.set(name, value);
-  Said::of(status, &headers, &bendsaddle::dialect::Dialect::OWN)
+  Said::of(status, &headers, &bendsaddle::dialect::Dialect::DEFAULT)
 }
 
 #[test]
--- a/tests/web.rs
+++ b/tests/web.rs
@@ -1,6 +1,6 @@
 //! Bounds of the callers' port.
 
-use bendsaddle::web::{self, Bounds};
+use bendsaddle::web::{self, Limits};
 use serde_json::json;
 use stand_ins::fleet::{Plan, wait_for};
 use std::{
@@ -9,17 +9,17 @@
   time::Duration,
 };
 
-const BOUNDS: Bounds = Bounds {
+const BOUNDS: Limits = Limits {
   connections: 2,
-  head: 512,
-  body: 64,
-  arrive: Duration::from_secs(2),
-  idle: Duration::from_secs(5),
-  stall: Duration::from_secs(2),
-  stack: 128 << 10,
+  head_bytes: 512,
+  body_bytes: 64,
+  request_timeout: Duration::from_secs(2),
+  idle_timeout: Duration::from_secs(5),
+  write_timeout: Duration::from_secs(2),
+  stack_bytes: 128 << 10,
 };
 
-fn echo(bounds: Bounds) -> SocketAddr {
+fn echo(bounds: Limits) -> SocketAddr {
   web::bind("127.0.0.1:0", bounds, "busy".into(), |request| {
     let body = request.body.clone();
     request.respond(200, &[], &body);
@@ -112,9 +112,9 @@
 
 #[test]
 fn a_request_that_never_ends_frees_its_place() {
-  let bounds = Bounds {
+  let bounds = Limits {
     connections: 1,
-    arrive: Duration::from_millis(50),
+    request_timeout: Duration::from_millis(50),
     ..BOUNDS
   };
   let address = echo(bounds);
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -15,7 +15,7 @@
   refusal::Refusal,
   replica::Id,
   report::{Report, Resident, Stage},
-  request::{Ask, Class, Ticket, Work},
+  request::{Class, Descriptor, Ticket, Work},
   settings::Limits,
   state::{Identity, State},
   update::{Change, Outcome, Stored, Value},
@@ -321,7 +321,7 @@
     }
     self.give(
       at,
-      Event::RequestArrived(Ask {
+      Event::RequestArrived(Descriptor {
         ticket: Ticket(ticket),
         work,
         class: Class::Interactive,
