--- a/src/call.rs
+++ b/src/call.rs
@@ -1,8 +1,7 @@
-//! One HTTP call, made once, with a verdict on whether it may have run.
+//! HTTP calls, with a verdict on whether the request may have run.
 //!
-//! Each call has a connection of its own: a reused connection that breaks could
-//! not show whether the server saw the request. Nothing is repeated and no
-//! redirect is followed.
+//! Each call uses a new connection: if a reused connection fails, it is unknown whether the server
+//! received the request. Calls are not retried and redirects are not followed.
 
 use crate::verdict::Verdict;
 use std::{
@@ -23,38 +22,38 @@
   },
 };
 
-/// A call that got no answer.
+/// A call that got no response.
 #[derive(Clone, Debug)]
 pub struct Failure {
   pub verdict: Verdict,
   pub text: String,
 }
 
-/// Bytes buffered each way; many streams are open at once.
-const BUFFER: usize = 8 << 10;
+/// Buffer size per direction, small because many streams are open at once.
+const BUFFER_BYTES: usize = 8 << 10;
 
-/// Bounds on a call's waits.
+/// Timeouts of a call.
 #[derive(Clone, Copy, Debug)]
 pub struct Timeouts {
   pub connect: Duration,
-  /// Between request and the answer's head.
+  /// Between the request and the head of the response.
   pub response: Duration,
   /// Between two reads of the body.
   pub read: Duration,
 }
 
-/// Marks a connection over which a byte went out.
+/// Connector that records whether any byte was sent over its connection.
 #[derive(Debug)]
-struct Mark(Arc<AtomicBool>);
+struct SendRecorder(Arc<AtomicBool>);
 
 #[derive(Debug)]
-struct Marked<T> {
+struct RecordingTransport<T> {
   inner: T,
   sent: Arc<AtomicBool>,
 }
 
-impl<In: Transport> Connector<In> for Mark {
-  type Out = Either<In, Marked<In>>;
+impl<In: Transport> Connector<In> for SendRecorder {
+  type Out = Either<In, RecordingTransport<In>>;
 
   fn connect(
     &self,
@@ -62,11 +61,11 @@
     chained: Option<In>,
   ) -> Result<Option<Self::Out>, ureq::Error> {
     let sent = self.0.clone();
-    Ok(chained.map(|inner| Either::B(Marked { inner, sent })))
+    Ok(chained.map(|inner| Either::B(RecordingTransport { inner, sent })))
   }
 }
 
-impl<T: Transport> Transport for Marked<T> {
+impl<T: Transport> Transport for RecordingTransport<T> {
   fn buffers(&mut self) -> &mut dyn Buffers {
     self.inner.buffers()
   }
@@ -85,8 +84,8 @@
   }
 }
 
-/// Makes one call.
-pub fn send(request: Request<Vec<u8>>, waits: Timeouts) -> Result<Response<Body>, Failure> {
+/// Sends a request without retries.
+pub fn send(request: Request<Vec<u8>>, timeouts: Timeouts) -> Result<Response<Body>, Failure> {
   let sent = Arc::new(AtomicBool::new(false));
   let config = Agent::config_builder()
     .max_redirects(0)
@@ -94,14 +93,14 @@
     .http_status_as_error(false)
     .proxy(None)
     .max_idle_connections(0)
-    .input_buffer_size(BUFFER)
-    .output_buffer_size(BUFFER)
-    .timeout_connect(Some(waits.connect))
-    .timeout_recv_response(Some(waits.response))
-    .timeout_per_read(Some(waits.read))
-    .timeout_per_write(Some(waits.read))
+    .input_buffer_size(BUFFER_BYTES)
+    .output_buffer_size(BUFFER_BYTES)
+    .timeout_connect(Some(timeouts.connect))
+    .timeout_recv_response(Some(timeouts.response))
+    .timeout_per_read(Some(timeouts.read))
+    .timeout_per_write(Some(timeouts.read))
     .build();
-  let connector = TcpConnector::default().chain(Mark(sent.clone()));
+  let connector = TcpConnector::default().chain(SendRecorder(sent.clone()));
   let agent = Agent::with_parts(config, connector, DefaultResolver::default());
   agent.run(request).map_err(|error| Failure {
     verdict: match sent.load(Ordering::Relaxed) {
@@ -112,7 +111,7 @@
   })
 }
 
-/// A request with a JSON body.
+/// Creates a POST request with a JSON body.
 pub fn post(address: &str, path: &str, body: Vec<u8>) -> Result<Request<Vec<u8>>, Failure> {
   Request::post(format!("http://{address}{path}"))
     .header("content-type", "application/json")
--- a/src/callers.rs
+++ b/src/callers.rs
@@ -1,4 +1,4 @@
-//! The callers' port: routing, and what every request says of itself.
+//! Caller port: routes requests and reads the headers that are common to all of them.
 
 use crate::{
   batch::Change,
@@ -21,33 +21,38 @@
 };
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Longest deadline a caller may name, ms.
+/// Longest time until the deadline that a caller may request.
 pub const MAX_DEADLINE_MS: u64 = 86_400_000;
-/// Bytes of a request's head.
-const HEAD_BYTES: usize = 16 << 10;
-/// Time past its deadline after which a request's thread stops waiting.
+/// Maximum size of a request's head.
+const MAX_HEAD_BYTES: usize = 16 << 10;
+/// Time past the deadline after which a request's thread stops waiting for a directive.
 pub const DEADLINE_GRACE: Duration = Duration::from_secs(30);
 
-/// Binds the port and answers until the process ends.
+/// Binds the port and serves it until the process ends.
 pub fn bind(shared: &Arc<Shared>) -> io::Result<SocketAddr> {
   let limits = &shared.settings.limits;
-  let bounds = Limits {
+  let web_limits = Limits {
     connections: limits.requests,
-    head_bytes: HEAD_BYTES,
+    head_bytes: MAX_HEAD_BYTES,
     body_bytes: limits.body_bytes,
     request_timeout: Duration::from_millis(limits.caller_stall_ms),
     idle_timeout: Duration::from_millis(limits.caller_idle_ms),
     write_timeout: Duration::from_millis(limits.caller_stall_ms),
     stack_bytes: STACK,
   };
-  let busy = reply::refusal_body(queue_full()).to_string();
-  let worker = shared.clone();
-  web::bind(&shared.settings.callers, bounds, busy, move |request| {
-    handle(&worker, request);
-  })
+  let busy_body = reply::refusal_body(queue_full()).to_string();
+  let handler_shared = shared.clone();
+  web::bind(
+    &shared.settings.callers,
+    web_limits,
+    busy_body,
+    move |request| {
+      handle(&handler_shared, request);
+    },
+  )
 }
 
-/// The refusal of a caller beyond the instance's bounds.
+/// The refusal for a caller when the instance's limits are reached.
 pub fn queue_full() -> Refusal {
   Refusal {
     reason: Reason::QueueFull,
@@ -58,8 +63,8 @@
 
 fn handle(shared: &Shared, request: &mut Request) {
   let path = request.path().to_string();
-  let parts: Vec<&str> = path.trim_start_matches('/').split('/').collect();
-  match (request.method.as_str(), parts.as_slice()) {
+  let segments: Vec<&str> = path.trim_start_matches('/').split('/').collect();
+  match (request.method.as_str(), segments.as_slice()) {
     ("POST", ["v1", "completions"]) => completions::complete(shared, request, false),
     ("POST", ["v1", "chat", "completions"]) => completions::complete(shared, request, true),
     ("GET", ["v1", "models"]) => completions::models(shared, request),
@@ -81,16 +86,17 @@
   }
 }
 
-/// What every request says of itself in its headers.
+/// Options from the headers that are common to all requests.
 pub struct Options {
   pub class: Class,
-  /// Time by which the first byte must be on its way, ms.
+  /// Time by which the first byte of the response must be sent, ms.
   pub deadline: u64,
   /// Hash of the caller's identity.
   pub caller: u64,
 }
 
-/// Reads and checks a request's headers.
+/// Parses and validates the headers of a request. `user` takes precedence over the headers that
+/// identify the caller.
 pub fn parse_options(
   shared: &Shared,
   request: &Request,
@@ -101,10 +107,10 @@
     Some("batch") => Class::Batch,
     Some(other) => return Err(format!("x-class: `{other}` is not interactive or batch")),
   };
-  let wait = match request.header("x-deadline-ms") {
+  let timeout_ms = match request.header("x-deadline-ms") {
     None => shared.settings.limits.deadline_ms,
     Some(text) => match text.parse::<u64>() {
-      Ok(wait) if (1..=MAX_DEADLINE_MS).contains(&wait) => wait,
+      Ok(timeout_ms) if (1..=MAX_DEADLINE_MS).contains(&timeout_ms) => timeout_ms,
       _ => {
         return Err(format!(
           "x-deadline-ms: `{text}` is not within 1..={MAX_DEADLINE_MS}"
@@ -112,27 +118,27 @@
       }
     },
   };
-  let name = user
+  let identity = user
     .or_else(|| request.header("x-caller"))
     .or_else(|| request.header("authorization"));
-  let caller = match name {
-    Some(name) => xxh3_64(name.as_bytes()),
+  let caller = match identity {
+    Some(identity) => xxh3_64(identity.as_bytes()),
     None => xxh3_64(request.peer.ip().to_string().as_bytes()),
   };
   Ok(Options {
     class,
-    deadline: shared.now() + wait,
+    deadline: shared.now() + timeout_ms,
     caller,
   })
 }
 
-/// The next directive; none when the reducer has not answered long past the
+/// Waits for the next directive; `None` if the reducer sends none within `DEADLINE_GRACE` after the
 /// deadline.
 pub fn next_directive(
   shared: &Shared,
   directives: &Receiver<Directive>,
   deadline: u64,
 ) -> Option<Directive> {
-  let left = Duration::from_millis(deadline.saturating_sub(shared.now()));
-  directives.recv_timeout(left + DEADLINE_GRACE).ok()
+  let remaining = Duration::from_millis(deadline.saturating_sub(shared.now()));
+  directives.recv_timeout(remaining + DEADLINE_GRACE).ok()
 }
--- a/src/entry.rs
+++ b/src/entry.rs
@@ -1,4 +1,4 @@
-//! The callers' port of a routing instance: connections, heads, bodies, routes.
+//! Caller port of a routing instance: accepts connections, reads requests and finds their routes.
 
 use crate::{
   clock::Moment,
@@ -25,86 +25,88 @@
   time::Duration,
 };
 
-/// Stack of a connection's thread, bytes.
-const STACK: usize = 128 << 10;
-/// Pause after an accept that failed, as when descriptors run out.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
-/// Time for a body to arrive, from the end of its head.
-const BODY_TIME: Duration = Duration::from_secs(15);
-/// Time for a short answer of this instance's own to be taken.
-const ANSWER_TIME: Duration = Duration::from_secs(1);
-/// Time for the first byte of a caller that comes during a planned stop.
-const LATE_CALLER: Duration = Duration::from_millis(1_000);
-/// Time after which a caller refused for want of a configuration comes back, ms.
-const UNCONFIGURED_MS: u64 = 300;
+/// Stack size of a connection's thread.
+const STACK_BYTES: usize = 128 << 10;
+/// Delay after a failed accept, for example when file descriptors run out.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
+/// Time limit for receiving a body, from the end of its head.
+const BODY_TIMEOUT: Duration = Duration::from_secs(15);
+/// Time limit for writing a short response that this instance creates itself.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
+/// Time limit for the first byte on a connection that is accepted during a planned stop.
+const STOPPING_IDLE_TIMEOUT: Duration = Duration::from_millis(1_000);
+/// Retry delay for a request that is refused because no configuration is known, and for a rejected
+/// connection.
+const UNCONFIGURED_RETRY_MS: u64 = 300;
 
-/// Time after which a caller may come back whose key could not be looked up, ms: the balancer
-/// has taken this instance out by then.
-const UNSURE_MS: u64 = 1_000;
+/// Retry delay for a request whose key could not be checked. By then, the load balancer has taken
+/// this instance out of service.
+const UNVERIFIED_KEY_RETRY_MS: u64 = 1_000;
 
 /// Why a request could not be read.
-enum Stop {
-  /// The connection ended, or was idle for too long.
+enum ReadError {
+  /// The connection was closed, or was idle for too long.
   Closed,
-  Answer(u16, String),
+  /// Status and message of the response.
+  Rejected(u16, String),
 }
 
-impl From<io::Error> for Stop {
+impl From<io::Error> for ReadError {
   fn from(_: io::Error) -> Self {
-    // A caller whose connection broke gets no answer.
+    // No response can be sent if the connection failed.
     Self::Closed
   }
 }
 
-/// Binds the callers' port; at most `most` connections at once.
-pub fn bind(hub: &Arc<Hub>, address: &str, most: usize) -> io::Result<SocketAddr> {
+/// Binds the caller port and serves at most `max_connections` connections at once.
+pub fn bind(hub: &Arc<Hub>, address: &str, max_connections: usize) -> io::Result<SocketAddr> {
   let listener = web::listen(address)?;
   let address = listener.local_addr()?;
   let hub = hub.clone();
   let builder = thread::Builder::new().name("accept".into());
-  builder.spawn(move || accept(&hub, &listener, most))?;
+  builder.spawn(move || accept(&hub, &listener, max_connections))?;
   Ok(address)
 }
 
-fn accept(hub: &Arc<Hub>, listener: &TcpListener, most: usize) {
-  let open = Arc::new(AtomicUsize::new(0));
+fn accept(hub: &Arc<Hub>, listener: &TcpListener, max_connections: usize) {
+  let open_connections = Arc::new(AtomicUsize::new(0));
   loop {
     let stream = match listener.accept() {
       Ok((stream, _)) => stream,
       Err(error) => {
         warn!(hub.log, "accept failed"; "error" => %error);
-        thread::sleep(ACCEPT_PAUSE);
+        thread::sleep(ACCEPT_RETRY_DELAY);
         continue;
       }
     };
-    if open.fetch_add(1, Ordering::Relaxed) >= most {
-      open.fetch_sub(1, Ordering::Relaxed);
-      warn!(hub.log, "caller turned away"; "connections" => most);
-      turn_away(stream);
+    if open_connections.fetch_add(1, Ordering::Relaxed) >= max_connections {
+      open_connections.fetch_sub(1, Ordering::Relaxed);
+      warn!(hub.log, "connection rejected: limit reached"; "connections" => max_connections);
+      reject(stream);
       continue;
     }
-    let (hub, counted) = (hub.clone(), open.clone());
+    let (hub, connection_count) = (hub.clone(), open_connections.clone());
     let builder = thread::Builder::new()
       .name("caller".into())
-      .stack_size(STACK);
+      .stack_size(STACK_BYTES);
     let spawned = builder.spawn(move || {
       serve(&hub, stream);
-      counted.fetch_sub(1, Ordering::Relaxed);
+      connection_count.fetch_sub(1, Ordering::Relaxed);
     });
     if spawned.is_err() {
-      open.fetch_sub(1, Ordering::Relaxed);
+      open_connections.fetch_sub(1, Ordering::Relaxed);
     }
   }
 }
 
-fn turn_away(stream: TcpStream) {
+fn reject(stream: TcpStream) {
   let refusal = Refusal {
     reason: Reason::QueueFull,
     verdict: Verdict::NotRun,
-    retry_after: Some(UNCONFIGURED_MS),
+    retry_after: Some(UNCONFIGURED_RETRY_MS),
   };
   if let Ok(mut socket) = Socket::accept(stream) {
-    // A caller that does not take even this is owed nothing more.
+    // Best effort: the connection is closed even if the caller does not accept this response.
     let _ = socket.try_write(&relay::refusal_answer(&refusal, false));
   }
 }
@@ -116,48 +118,48 @@
   let mailbox = Arc::new(mailbox);
   let mut first = true;
   loop {
-    let begun = begin(hub, &mut socket, std::mem::take(&mut first));
-    match begun.and_then(|begun| begun.then(|| read(hub, &mut socket)).transpose()) {
+    let ready = wait_for_request(hub, &mut socket, std::mem::take(&mut first));
+    match ready.and_then(|ready| ready.then(|| read_request(hub, &mut socket)).transpose()) {
       Ok(Some((head, body, arrived))) => {
         hub.active.fetch_add(1, Ordering::Relaxed);
-        let then = answer(hub, &mailbox, &mut socket, head, body, arrived);
+        let next = respond(hub, &mailbox, &mut socket, head, body, arrived);
         hub.active.fetch_sub(1, Ordering::Relaxed);
-        match then {
+        match next {
           Then::Keep => {}
           Then::Close => return close(socket),
           Then::Reset => return reset(hub, socket),
         }
       }
-      Ok(None) | Err(Stop::Closed) => return,
-      Err(Stop::Answer(status, text)) => {
-        info!(hub.log, "request declined"; "status" => status, "why" => &text);
-        let answer = error_answer(status, &text);
-        // Whoever sent what cannot be read may not read this either.
-        let _ = socket.write_all(&answer, Moment::now() + ANSWER_TIME);
+      Ok(None) | Err(ReadError::Closed) => return,
+      Err(ReadError::Rejected(status, text)) => {
+        info!(hub.log, "request rejected"; "status" => status, "why" => &text);
+        let response = error_response(status, &text);
+        // Best effort: the sender of an invalid request may not read the response either.
+        let _ = socket.write_all(&response, Moment::now() + RESPONSE_TIMEOUT);
         return close(socket);
       }
     }
   }
 }
 
-/// Closes so that what was written still arrives: unread bytes would reset the
-/// connection.
+/// Closes a connection so that everything written still arrives. Closing it with unread input would
+/// reset it.
 fn close(mut socket: Socket) {
-  // A connection that has ended already needs no shutdown.
+  // A connection that has already ended needs no shutdown.
   let _ = socket.stream.shutdown(std::net::Shutdown::Write);
   while let Ok(Fill::Data) = socket.fill() {
     socket.input.clear();
   }
 }
 
-/// Ends a connection so that its last answer does not look whole.
+/// Resets a connection so that its last response does not look complete.
 fn reset(hub: &Hub, socket: Socket) {
   if let Err(error) = socket.reset() {
-    warn!(hub.log, "connection not reset"; "error" => %error);
+    warn!(hub.log, "connection reset failed"; "error" => %error);
   }
 }
 
-fn bounds(hub: &Hub) -> Bounds {
+fn limits(hub: &Hub) -> Bounds {
   let state = hub.state();
   state
     .deployment
@@ -166,127 +168,133 @@
     .unwrap_or_default()
 }
 
-/// Waits for the next request's first byte; false when the connection is to end. A
-/// planned stop ends connections at rest, but a balancer that does not know of it
-/// yet still sends new ones.
-fn begin(hub: &Hub, socket: &mut Socket, first: bool) -> Result<bool, Stop> {
-  let rests = Moment::now();
-  let mut idle = rests + bounds(hub).idle_time;
+/// Waits for the first byte of the next request; returns false if the connection is to be closed.
+/// A planned stop closes idle connections. New connections are still served, because a load
+/// balancer that does not know of the stop yet keeps opening them.
+fn wait_for_request(hub: &Hub, socket: &mut Socket, first: bool) -> Result<bool, ReadError> {
+  let idle_since = Moment::now();
+  let mut idle_deadline = idle_since + limits(hub).idle_time;
   while socket.input.is_empty() {
     let stopping = hub.stopping.load(Ordering::Relaxed);
     if stopping && !first {
       return Ok(false);
     }
-    let until = match stopping {
-      true => idle.min(Moment::now() + LATE_CALLER),
-      false => idle,
+    let deadline = match stopping {
+      true => idle_deadline.min(Moment::now() + STOPPING_IDLE_TIMEOUT),
+      false => idle_deadline,
     };
     let stop = (!stopping).then_some((&hub.stop_bell as _, Interest::Read));
-    let [called, stopped] = wait([Some((&socket.stream as _, Interest::Read)), stop], until)?;
-    if called {
+    let [readable, stopped] = wait(
+      [Some((&socket.stream as _, Interest::Read)), stop],
+      deadline,
+    )?;
+    if readable {
       if socket.fill()? == Fill::Eof {
         return Ok(false);
       }
     } else if !stopped {
-      // A deployment that came meanwhile may allow a longer rest.
-      let newest = rests + bounds(hub).idle_time;
-      if stopping || newest <= idle {
+      // A deployment that was received in the meantime may allow a longer idle time.
+      let new_deadline = idle_since + limits(hub).idle_time;
+      if stopping || new_deadline <= idle_deadline {
         return Ok(false);
       }
-      idle = newest;
+      idle_deadline = new_deadline;
     }
   }
   Ok(true)
 }
 
-/// Reads a request that has begun, within the bounds that are in force by now.
-fn read(hub: &Hub, socket: &mut Socket) -> Result<(Request, Vec<u8>, u64), Stop> {
+/// Reads a request whose first byte has arrived, within the limits of the current deployment.
+fn read_request(hub: &Hub, socket: &mut Socket) -> Result<(Request, Vec<u8>, u64), ReadError> {
   let arrived = hub.now();
-  let bounds = bounds(hub);
-  let head = read_head(socket, &bounds)?;
-  let body = read_body(socket, &head, &bounds)?;
+  let limits = limits(hub);
+  let head = read_head(socket, &limits)?;
+  let body = read_body(socket, &head, &limits)?;
   Ok((head, body, arrived))
 }
 
-fn bad(fault: Error) -> Stop {
-  Stop::Answer(400, fault.0)
+fn invalid(error: Error) -> ReadError {
+  ReadError::Rejected(400, error.0)
 }
 
-fn late(error: io::Error, what: &str) -> Stop {
+fn incomplete(error: io::Error, part: &str) -> ReadError {
   match error.kind() {
-    io::ErrorKind::TimedOut => Stop::Answer(408, format!("{what}: not whole in time")),
-    _ => Stop::Closed,
+    io::ErrorKind::TimedOut => ReadError::Rejected(408, format!("{part}: not whole in time")),
+    _ => ReadError::Closed,
   }
 }
 
-fn read_head(socket: &mut Socket, bounds: &Bounds) -> Result<Request, Stop> {
-  let until = Moment::now() + bounds.head_time;
+fn read_head(socket: &mut Socket, limits: &Bounds) -> Result<Request, ReadError> {
+  let deadline = Moment::now() + limits.head_time;
   loop {
-    // An empty line before a request is allowed.
+    // Empty lines before a request are allowed.
     while socket.input.starts_with(b"\r\n") {
       socket.input.drain(..2);
     }
-    if let Some((head, length)) = Request::parse(&socket.input).map_err(bad)? {
-      if length > bounds.head_bytes {
-        return Err(large_head(bounds));
+    if let Some((head, length)) = Request::parse(&socket.input).map_err(invalid)? {
+      if length > limits.head_bytes {
+        return Err(head_too_large(limits));
       }
       socket.input.drain(..length);
       return Ok(head);
     }
-    if socket.input.len() > bounds.head_bytes {
-      return Err(large_head(bounds));
+    if socket.input.len() > limits.head_bytes {
+      return Err(head_too_large(limits));
     }
-    let filled = socket.fill_by(until);
-    if filled.map_err(|error| late(error, "head"))? == Fill::Eof {
-      return Err(Stop::Closed);
+    let fill = socket.fill_by(deadline);
+    if fill.map_err(|error| incomplete(error, "head"))? == Fill::Eof {
+      return Err(ReadError::Closed);
     }
   }
 }
 
-fn large_head(bounds: &Bounds) -> Stop {
-  Stop::Answer(431, format!("head: more than {} bytes", bounds.head_bytes))
+fn head_too_large(limits: &Bounds) -> ReadError {
+  ReadError::Rejected(431, format!("head: more than {} bytes", limits.head_bytes))
 }
 
-fn read_body(socket: &mut Socket, head: &Request, bounds: &Bounds) -> Result<Vec<u8>, Stop> {
-  let framing = head.framing().map_err(bad)?;
-  let large = || Stop::Answer(413, format!("body: more than {} bytes", bounds.body_bytes));
-  if matches!(framing, Framing::Length(length) if length > bounds.body_bytes as u64) {
-    return Err(large());
+fn read_body(socket: &mut Socket, head: &Request, limits: &Bounds) -> Result<Vec<u8>, ReadError> {
+  let framing = head.framing().map_err(invalid)?;
+  let body_too_large =
+    || ReadError::Rejected(413, format!("body: more than {} bytes", limits.body_bytes));
+  if matches!(framing, Framing::Length(length) if length > limits.body_bytes as u64) {
+    return Err(body_too_large());
   }
-  let mut body = Decoder::new(framing);
+  let mut decoder = Decoder::new(framing);
   let mut bytes = Vec::new();
-  let until = Moment::now() + BODY_TIME;
+  let deadline = Moment::now() + BODY_TIMEOUT;
   if head.headers.has_token("expect", "100-continue")
-    && !body.is_complete()
+    && !decoder.is_complete()
     && socket.input.is_empty()
   {
-    socket.write_all(b"HTTP/1.1 100 Continue\r\n\r\n", until)?;
+    socket.write_all(b"HTTP/1.1 100 Continue\r\n\r\n", deadline)?;
   }
   loop {
-    body.decode(&mut socket.input, &mut bytes).map_err(bad)?;
-    if bytes.len() > bounds.body_bytes {
-      return Err(large());
+    decoder
+      .decode(&mut socket.input, &mut bytes)
+      .map_err(invalid)?;
+    if bytes.len() > limits.body_bytes {
+      return Err(body_too_large());
     }
-    if body.is_complete() {
+    if decoder.is_complete() {
       return Ok(bytes);
     }
-    let filled = socket.fill_by(until);
-    if filled.map_err(|error| late(error, "body"))? == Fill::Eof {
-      return Err(Stop::Closed);
+    let fill = socket.fill_by(deadline);
+    if fill.map_err(|error| incomplete(error, "body"))? == Fill::Eof {
+      return Err(ReadError::Closed);
     }
   }
 }
 
-/// The deployment in force, once what is kept from servers was read too: a request that crashes
-/// them would reach one before.
+/// Returns the current deployment; `None` until the records of requests that crash servers have
+/// been read, since without them such a request would be sent to a server.
 fn known_deployment(hub: &Hub) -> Option<Arc<Deployment>> {
   let state = hub.state();
-  let read = state.records_read;
-  state.deployment.clone().filter(|_| read)
+  let records_read = state.records_read;
+  state.deployment.clone().filter(|_| records_read)
 }
 
-/// Answers a request.
-fn answer(
+/// Responds to a request.
+fn respond(
   hub: &Hub,
   mailbox: &Arc<Mailbox>,
   socket: &mut Socket,
@@ -295,23 +303,27 @@
   arrived: u64,
 ) -> Then {
   let deployment = known_deployment(hub);
-  let keep = head.keep_alive();
+  let keep_alive = head.keep_alive();
   let Some(deployment) = deployment else {
     let refusal = Refusal {
       reason: Reason::PlatformUnavailable,
       verdict: Verdict::NotRun,
-      retry_after: Some(UNCONFIGURED_MS),
+      retry_after: Some(UNCONFIGURED_RETRY_MS),
     };
     info!(hub.log, "refused"; "request" => head.headers.get(hub.dialect.request_id),
       "reason" => refusal.reason.as_str(), "why" => "no configuration is known");
-    return own(socket, &relay::refusal_answer(&refusal, keep), keep);
+    return write_response(
+      socket,
+      &relay::refusal_answer(&refusal, keep_alive),
+      keep_alive,
+    );
   };
   let host = head.headers.get("host").unwrap_or_default();
   let Some(route) = route::find(&deployment.routes, host, head.path()) else {
     info!(hub.log, "no route"; "request" => head.headers.get(hub.dialect.request_id),
       "host" => host, "path" => head.path(), "version" => deployment.version);
     let text = format!("route: none for `{host}{}`", head.path());
-    return own(socket, &error_answer(404, &text), keep);
+    return write_response(socket, &error_response(404, &text), keep_alive);
   };
   let caller = match caller(hub, &deployment, route, &head) {
     Ok(caller) => caller,
@@ -321,7 +333,11 @@
         "version" => deployment.version, "waited_ms" => 0,
         "keys_age_ms" => hub.gates.deployments.sure_age().map(|age| age.as_millis() as u64));
       hub.measures.refusal(&refusal);
-      return own(socket, &relay::refusal_answer(&refusal, keep), keep);
+      return write_response(
+        socket,
+        &relay::refusal_answer(&refusal, keep_alive),
+        keep_alive,
+      );
     }
   };
   let incoming = Incoming {
@@ -334,26 +350,27 @@
   relay::serve(hub, mailbox, socket, &incoming)
 }
 
-/// Who sends a request, where that is to be known; a refusal otherwise.
+/// Identifies the caller of a request by its key. Returns `None` if there is no valid key and none
+/// is required, a refusal if one is required.
 fn caller(
   hub: &Hub,
   deployment: &Deployment,
   route: &Route,
   head: &Request,
 ) -> Result<Option<Caller>, Refusal> {
-  let Some(book) = &deployment.customers else {
+  let Some(customers) = &deployment.customers else {
     return Ok(None);
   };
-  let caller = customer::caller(&head.headers, hub.dialect.token_usage, book);
+  let caller = customer::caller(&head.headers, hub.dialect.token_usage, customers);
   if route.public {
-    // A key that counts is its customer's all the same.
+    // A valid key identifies its customer on a public route as well.
     return Ok(caller.ok().filter(|_| hub.keys_sure()));
   }
   if !hub.keys_sure() {
     return Err(Refusal {
       reason: Reason::KeysUnsure,
       verdict: Verdict::NotRun,
-      retry_after: Some(UNSURE_MS),
+      retry_after: Some(UNVERIFIED_KEY_RETRY_MS),
     });
   }
   caller.map(Some).map_err(|_| Refusal {
@@ -363,15 +380,15 @@
   })
 }
 
-fn own(socket: &mut Socket, answer: &[u8], keep: bool) -> Then {
-  let written = socket.write_all(answer, Moment::now() + ANSWER_TIME);
-  match keep && written.is_ok() {
+fn write_response(socket: &mut Socket, response: &[u8], keep_alive: bool) -> Then {
+  let written = socket.write_all(response, Moment::now() + RESPONSE_TIMEOUT);
+  match keep_alive && written.is_ok() {
     true => Then::Keep,
     false => Then::Close,
   }
 }
 
-fn error_answer(status: u16, text: &str) -> Vec<u8> {
+fn error_response(status: u16, text: &str) -> Vec<u8> {
   let body = serde_json::json!({ "error": {
     "type": "invalid_request", "message": text, "verdict": "not-run" } });
   let body = body.to_string();
--- a/src/http.rs
+++ b/src/http.rs
@@ -1,31 +1,31 @@
-//! HTTP/1.1 messages: heads by `httparse`, bodies by their framing.
+//! HTTP/1.1 messages: heads are parsed by `httparse`, bodies are decoded by their framing.
 //!
-//! Parsing is strict: a message that two readers could split differently is a
-//! fault, so that no request hides inside another one.
+//! Parsing is strict to prevent request smuggling: a message that two parsers could split
+//! differently is an error.
 
 use std::fmt::Write;
 
-/// Header lines of one message, at most.
-const HEADER_LINES: usize = 100;
-/// Bytes of a chunk's size line, at most.
-const CHUNK_LINE: usize = 256;
+/// Maximum number of headers of a message.
+const MAX_HEADERS: usize = 100;
+/// Maximum length of a chunk's size line and of a trailer line.
+const MAX_LINE_BYTES: usize = 256;
 
-/// Why bytes are not a message.
+/// Describes why a message is invalid.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Error(pub String);
 
-/// The header lines of a message, in order.
+/// The headers of a message, in order.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Headers(pub Vec<(String, Vec<u8>)>);
 
 impl Headers {
-  /// The first value of a header, where it is text.
+  /// Returns the first value of a header, trimmed; `None` if it is missing or not UTF-8.
   pub fn get(&self, name: &str) -> Option<&str> {
-    let found = self.get_all(name).next()?;
-    std::str::from_utf8(found).ok().map(str::trim)
+    let value = self.get_all(name).next()?;
+    std::str::from_utf8(value).ok().map(str::trim)
   }
 
-  /// All values of a header.
+  /// Returns all values of a header.
   pub fn get_all<'a, 'b>(&'a self, name: &'b str) -> impl Iterator<Item = &'a [u8]> + use<'a, 'b> {
     self
       .0
@@ -34,7 +34,7 @@
       .map(|(_, value)| value.as_slice())
   }
 
-  /// Whether a comma-separated header names `token`.
+  /// Returns whether a comma-separated header contains `token`, ignoring case.
   pub fn has_token(&self, header: &str, token: &str) -> bool {
     self.get_all(header).any(|value| {
       let value = String::from_utf8_lossy(value);
@@ -44,22 +44,22 @@
     })
   }
 
-  /// Removes a header.
+  /// Removes all values of a header.
   pub fn remove(&mut self, name: &str) {
     self
       .0
       .retain(|(field, _)| !field.eq_ignore_ascii_case(name));
   }
 
-  /// Replaces a header.
+  /// Sets a header to a single value, replacing existing ones.
   pub fn set(&mut self, name: &str, value: &str) {
     self.remove(name);
     self.0.push((name.into(), value.as_bytes().to_vec()));
   }
 
-  /// Removes what concerns one connection only, framing included.
+  /// Removes hop-by-hop headers: those listed in `Connection` and `HOP_BY_HOP`, framing included.
   pub fn remove_hop_by_hop(&mut self) {
-    let named: Vec<String> = self
+    let listed: Vec<String> = self
       .get_all("connection")
       .flat_map(|value| {
         let value = String::from_utf8_lossy(value).into_owned();
@@ -69,14 +69,14 @@
           .collect::<Vec<_>>()
       })
       .collect();
-    for name in named.iter().map(String::as_str).chain(HOP) {
+    for name in listed.iter().map(String::as_str).chain(HOP_BY_HOP) {
       self.remove(name);
     }
   }
 }
 
-/// Headers that concern one connection only.
-const HOP: [&str; 10] = [
+/// Headers that apply to a single connection.
+const HOP_BY_HOP: [&str; 10] = [
   "connection",
   "keep-alive",
   "proxy-connection",
@@ -89,15 +89,15 @@
   "content-length",
 ];
 
-/// How a body ends.
+/// How the end of a body is determined.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Framing {
-  /// There is none.
+  /// The message has no body.
   Empty,
-  /// After so many bytes.
+  /// The body has this many bytes.
   Length(u64),
   Chunked,
-  /// With the connection.
+  /// The body ends when the connection is closed.
   Close,
 }
 
@@ -107,12 +107,12 @@
   pub method: String,
   /// Path and query.
   pub target: String,
-  /// HTTP/1.0 or 1.1.
+  /// Minor version: 0 for HTTP/1.0, 1 for HTTP/1.1.
   pub minor: u8,
   pub headers: Headers,
 }
 
-/// The head of an answer.
+/// The head of a response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Response {
   pub status: u16,
@@ -121,7 +121,7 @@
   pub headers: Headers,
 }
 
-fn headers(parsed: &[httparse::Header]) -> Headers {
+fn convert_headers(parsed: &[httparse::Header]) -> Headers {
   let lines = parsed.iter();
   Headers(
     lines
@@ -130,43 +130,43 @@
   )
 }
 
-fn bare_line_end(head: &[u8]) -> bool {
-  let feeds = head.iter().filter(|byte| **byte == b'\n').count();
-  let pairs = head.windows(2).filter(|pair| pair == b"\r\n").count();
-  let returns = head.iter().filter(|byte| **byte == b'\r').count();
-  feeds != pairs || returns != pairs
+fn has_bare_line_ending(head: &[u8]) -> bool {
+  let line_feeds = head.iter().filter(|byte| **byte == b'\n').count();
+  let crlf_pairs = head.windows(2).filter(|pair| pair == b"\r\n").count();
+  let carriage_returns = head.iter().filter(|byte| **byte == b'\r').count();
+  line_feeds != crlf_pairs || carriage_returns != crlf_pairs
 }
 
 impl Request {
-  /// The request at the start of `bytes` and its head's length; none while the
-  /// head is incomplete.
+  /// Parses the request head at the start of `bytes` and returns it with its length in bytes;
+  /// `None` if the head is incomplete.
   pub fn parse(bytes: &[u8]) -> Result<Option<(Self, usize)>, Error> {
-    let mut lines = [httparse::EMPTY_HEADER; HEADER_LINES];
+    let mut lines = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut parsed = httparse::Request::new(&mut lines);
     let length = match parsed.parse(bytes) {
       Ok(httparse::Status::Complete(length)) => length,
       Ok(httparse::Status::Partial) => return Ok(None),
       Err(error) => return Err(Error(format!("head: {error}"))),
     };
-    if bare_line_end(&bytes[..length]) {
+    if has_bare_line_ending(&bytes[..length]) {
       return Err(Error("head: a line does not end with CR LF".into()));
     }
     let request = Self {
       method: parsed.method.unwrap_or_default().into(),
       target: parsed.path.unwrap_or_default().into(),
       minor: parsed.version.unwrap_or(1),
-      headers: headers(parsed.headers),
+      headers: convert_headers(parsed.headers),
     };
     Ok(Some((request, length)))
   }
 
-  /// How the body ends; an ambiguous request is a fault.
+  /// Determines the framing of the body; an ambiguous request is an error.
   pub fn framing(&self) -> Result<Framing, Error> {
     let lengths: Vec<&[u8]> = self.headers.get_all("content-length").collect();
     let codings: Vec<&[u8]> = self.headers.get_all("transfer-encoding").collect();
     match (lengths.as_slice(), codings.as_slice()) {
       ([], []) => Ok(Framing::Empty),
-      ([length], []) => Ok(Framing::Length(number(length)?)),
+      ([length], []) => Ok(Framing::Length(parse_len(length)?)),
       ([], [coding]) if coding.eq_ignore_ascii_case(b"chunked") && self.minor == 1 => {
         Ok(Framing::Chunked)
       }
@@ -178,28 +178,28 @@
     }
   }
 
-  /// Whether the connection stays open after the answer.
+  /// Returns whether the connection stays open after the response.
   pub fn keep_alive(&self) -> bool {
     self.minor == 1 && !self.headers.has_token("connection", "close")
   }
 
-  /// The path without its query.
+  /// Returns the target without its query.
   pub fn path(&self) -> &str {
     self.target.split('?').next().unwrap_or_default()
   }
 
-  /// The head's bytes.
+  /// Serializes the head, including the header that `framing` requires.
   pub fn encode(&self, framing: Framing) -> Vec<u8> {
-    let start = format!("{} {} HTTP/1.1\r\n", self.method, self.target);
-    encode(start, &self.headers, framing, "")
+    let start_line = format!("{} {} HTTP/1.1\r\n", self.method, self.target);
+    encode(start_line, &self.headers, framing, "")
   }
 }
 
 impl Response {
-  /// The answer at the start of `bytes` and its head's length; none while the
-  /// head is incomplete.
+  /// Parses the response head at the start of `bytes` and returns it with its length in bytes;
+  /// `None` if the head is incomplete.
   pub fn parse(bytes: &[u8]) -> Result<Option<(Self, usize)>, Error> {
-    let mut lines = [httparse::EMPTY_HEADER; HEADER_LINES];
+    let mut lines = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut parsed = httparse::Response::new(&mut lines);
     let length = match parsed.parse(bytes) {
       Ok(httparse::Status::Complete(length)) => length,
@@ -210,12 +210,12 @@
       status: parsed.code.unwrap_or_default(),
       reason: parsed.reason.unwrap_or_default().into(),
       minor: parsed.version.unwrap_or(1),
-      headers: headers(parsed.headers),
+      headers: convert_headers(parsed.headers),
     };
     Ok(Some((response, length)))
   }
 
-  /// How the body ends.
+  /// Determines the framing of the body, given the method of the request.
   pub fn framing(&self, method: &str) -> Result<Framing, Error> {
     if method == "HEAD" || self.status < 200 || matches!(self.status, 204 | 304) {
       return Ok(Framing::Empty);
@@ -226,48 +226,53 @@
       (Some(coding), _) => Err(Error(format!(
         "transfer-encoding: `{coding}` is not understood"
       ))),
-      (None, Some(length)) if lengths.next().is_none() => Ok(Framing::Length(number(length)?)),
+      (None, Some(length)) if lengths.next().is_none() => Ok(Framing::Length(parse_len(length)?)),
       (None, Some(_)) => Err(Error("head: the body's length is given twice".into())),
       (None, None) => Ok(Framing::Close),
     }
   }
 
-  /// Whether the connection stays open after the answer.
+  /// Returns whether the connection stays open after the response.
   pub fn keep_alive(&self) -> bool {
     self.minor == 1 && !self.headers.has_token("connection", "close")
   }
 
-  /// The head's bytes.
-  pub fn encode(&self, framing: Framing, keep: bool) -> Vec<u8> {
-    let start = format!("HTTP/1.1 {} {}\r\n", self.status, self.reason);
-    let connection = match keep && framing != Framing::Close {
+  /// Serializes the head, including the header that `framing` requires.
+  pub fn encode(&self, framing: Framing, keep_alive: bool) -> Vec<u8> {
+    let start_line = format!("HTTP/1.1 {} {}\r\n", self.status, self.reason);
+    let connection = match keep_alive && framing != Framing::Close {
       true => "",
       false => "Connection: close\r\n",
     };
-    encode(start, &self.headers, framing, connection)
+    encode(start_line, &self.headers, framing, connection)
   }
 }
 
-fn number(digits: &[u8]) -> Result<u64, Error> {
+fn parse_len(digits: &[u8]) -> Result<u64, Error> {
   let text = String::from_utf8_lossy(digits);
-  let fault = || Error(format!("content-length: `{text}` is not a number"));
+  let error = || Error(format!("content-length: `{text}` is not a number"));
   if digits.is_empty() || !digits.iter().all(u8::is_ascii_digit) {
-    return Err(fault());
+    return Err(error());
   }
-  text.parse().map_err(|_| fault())
+  text.parse().map_err(|_| error())
 }
 
-fn encode(mut start: String, headers: &Headers, framing: Framing, connection: &str) -> Vec<u8> {
-  start += connection;
+fn encode(
+  mut start_line: String,
+  headers: &Headers,
+  framing: Framing,
+  connection: &str,
+) -> Vec<u8> {
+  start_line += connection;
   match framing {
     Framing::Length(length) => {
-      // Writing to a string does not fail.
-      let _ = write!(start, "Content-Length: {length}\r\n");
+      // Writing to a `String` cannot fail.
+      let _ = write!(start_line, "Content-Length: {length}\r\n");
     }
-    Framing::Chunked => start += "Transfer-Encoding: chunked\r\n",
+    Framing::Chunked => start_line += "Transfer-Encoding: chunked\r\n",
     Framing::Empty | Framing::Close => {}
   }
-  let mut bytes = start.into_bytes();
+  let mut bytes = start_line.into_bytes();
   for (name, value) in &headers.0 {
     bytes.extend_from_slice(name.as_bytes());
     bytes.extend_from_slice(b": ");
@@ -278,134 +283,134 @@
   bytes
 }
 
-/// A piece of a body as one chunk.
-pub fn encode_chunk(piece: &[u8]) -> Vec<u8> {
-  let mut bytes = format!("{:x}\r\n", piece.len()).into_bytes();
-  bytes.extend_from_slice(piece);
+/// Encodes `data` as one chunk of a body.
+pub fn encode_chunk(data: &[u8]) -> Vec<u8> {
+  let mut bytes = format!("{:x}\r\n", data.len()).into_bytes();
+  bytes.extend_from_slice(data);
   bytes.extend_from_slice(b"\r\n");
   bytes
 }
 
-/// The chunk that ends a body.
+/// The chunk that ends a body, without trailers.
 pub const LAST_CHUNK: &[u8] = b"0\r\n\r\n";
 
-/// Where a chunked body's decoder stands.
+/// What the decoder of a chunked body expects next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Part {
+enum Expected {
   Size,
   Data(u64),
   DataEnd,
   Trailer,
 }
 
-/// Takes a body apart as its bytes arrive.
+/// Decodes a body incrementally as its bytes arrive.
 #[derive(Clone, Debug)]
 pub struct Decoder {
   framing: Framing,
-  left: u64,
-  part: Part,
-  done: bool,
+  remaining: u64,
+  expected: Expected,
+  complete: bool,
 }
 
 impl Decoder {
-  /// A body of which nothing has arrived.
+  /// Creates a decoder for a body of which no byte has arrived.
   pub fn new(framing: Framing) -> Self {
-    let left = match framing {
+    let remaining = match framing {
       Framing::Length(length) => length,
       _ => 0,
     };
     Self {
       framing,
-      left,
-      part: Part::Size,
-      done: matches!(framing, Framing::Empty | Framing::Length(0)),
+      remaining,
+      expected: Expected::Size,
+      complete: matches!(framing, Framing::Empty | Framing::Length(0)),
     }
   }
 
-  /// Whether the body is whole.
+  /// Returns whether the body is complete.
   pub fn is_complete(&self) -> bool {
-    self.done
+    self.complete
   }
 
-  /// The connection has ended; whether that makes the body whole.
+  /// Handles the end of the connection; returns whether the body is complete.
   pub fn finish(&mut self) -> bool {
-    self.done |= self.framing == Framing::Close;
-    self.done
+    self.complete |= self.framing == Framing::Close;
+    self.complete
   }
 
-  /// Moves what belongs to the body from `bytes` to `out`.
+  /// Consumes bytes of the body from `bytes` and appends its decoded content to `out`.
   pub fn decode(&mut self, bytes: &mut Vec<u8>, out: &mut Vec<u8>) -> Result<(), Error> {
-    let mut used = 0;
-    while !self.done && used < bytes.len() {
-      let step = match self.framing {
+    let mut consumed = 0;
+    while !self.complete && consumed < bytes.len() {
+      let length = match self.framing {
         Framing::Empty => 0,
-        Framing::Close => self.data(&bytes[used..], u64::MAX, out),
+        Framing::Close => self.copy_data(&bytes[consumed..], u64::MAX, out),
         Framing::Length(_) => {
-          let step = self.data(&bytes[used..], self.left, out);
-          self.left -= step as u64;
-          self.done = self.left == 0;
-          step
+          let length = self.copy_data(&bytes[consumed..], self.remaining, out);
+          self.remaining -= length as u64;
+          self.complete = self.remaining == 0;
+          length
         }
-        Framing::Chunked => self.chunked(&bytes[used..], out)?,
+        Framing::Chunked => self.decode_chunked(&bytes[consumed..], out)?,
       };
-      if step == 0 {
+      if length == 0 {
         break;
       }
-      used += step;
+      consumed += length;
     }
-    bytes.drain(..used);
+    bytes.drain(..consumed);
     Ok(())
   }
 
-  fn data(&self, bytes: &[u8], most: u64, out: &mut Vec<u8>) -> usize {
-    let length = (bytes.len() as u64).min(most) as usize;
+  fn copy_data(&self, bytes: &[u8], limit: u64, out: &mut Vec<u8>) -> usize {
+    let length = (bytes.len() as u64).min(limit) as usize;
     out.extend_from_slice(&bytes[..length]);
     length
   }
 
-  fn chunked(&mut self, bytes: &[u8], out: &mut Vec<u8>) -> Result<usize, Error> {
-    match self.part {
-      Part::Size => {
+  fn decode_chunked(&mut self, bytes: &[u8], out: &mut Vec<u8>) -> Result<usize, Error> {
+    match self.expected {
+      Expected::Size => {
         let parsed = httparse::parse_chunk_size(bytes);
         let Ok(parsed) = parsed else {
           return Err(Error("body: a chunk has no size".into()));
         };
-        let httparse::Status::Complete((used, size)) = parsed else {
-          return match bytes.len() > CHUNK_LINE {
+        let httparse::Status::Complete((consumed, size)) = parsed else {
+          return match bytes.len() > MAX_LINE_BYTES {
             true => Err(Error("body: a chunk's size line is too long".into())),
             false => Ok(0),
           };
         };
-        self.part = match size {
-          0 => Part::Trailer,
-          size => Part::Data(size),
+        self.expected = match size {
+          0 => Expected::Trailer,
+          size => Expected::Data(size),
         };
-        Ok(used)
+        Ok(consumed)
       }
-      Part::Data(left) => {
-        let step = self.data(bytes, left, out);
-        self.part = match left - step as u64 {
-          0 => Part::DataEnd,
-          left => Part::Data(left),
+      Expected::Data(remaining) => {
+        let length = self.copy_data(bytes, remaining, out);
+        self.expected = match remaining - length as u64 {
+          0 => Expected::DataEnd,
+          remaining => Expected::Data(remaining),
         };
-        Ok(step)
+        Ok(length)
       }
-      Part::DataEnd => match bytes {
+      Expected::DataEnd => match bytes {
         [b'\r', b'\n', ..] => {
-          self.part = Part::Size;
+          self.expected = Expected::Size;
           Ok(2)
         }
         [b'\r'] => Ok(0),
         _ => Err(Error("body: a chunk does not end where it should".into())),
       },
-      Part::Trailer => {
+      Expected::Trailer => {
         let Some(end) = bytes.windows(2).position(|pair| pair == b"\r\n") else {
-          return match bytes.len() > CHUNK_LINE {
+          return match bytes.len() > MAX_LINE_BYTES {
             true => Err(Error("body: a trailer line is too long".into())),
             false => Ok(0),
           };
         };
-        self.done = end == 0;
+        self.complete = end == 0;
         Ok(end + 2)
       }
     }
--- a/src/outbound.rs
+++ b/src/outbound.rs
@@ -1,5 +1,5 @@
-//! Small HTTP calls over kept connections: to the platform's store and for
-//! orders and reports.
+//! HTTP client with a connection pool, for small calls: to the platform's store, and for orders and
+//! reports.
 
 use crate::{
   clock::Moment,
@@ -14,25 +14,25 @@
   time::Duration,
 };
 
-/// Largest answer taken, bytes: a page of the store holds 1 MB.
-const ANSWER_MOST: usize = 16 << 20;
-/// A kept connection that rested longer is not used again.
-const REST_MOST: Duration = Duration::from_millis(2_000);
-/// Connections kept for one address.
-const KEPT: usize = 4;
+/// Maximum size of a response body. A page of the store holds 1 MB.
+const MAX_BODY_BYTES: usize = 16 << 20;
+/// An idle connection is not reused after this time.
+const MAX_IDLE_TIME: Duration = Duration::from_millis(2_000);
+/// Maximum number of idle connections per address.
+const MAX_IDLE_PER_ADDRESS: usize = 4;
 
-/// Why a call got no answer.
+/// Why a call got no response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Failure {
-  /// Nothing listens there: the call was not made.
+  /// The connection was refused, so the call was not sent.
   Refused,
-  /// No connection came up in time: the call was not made.
+  /// No connection was established in time, so the call was not sent.
   NotSent,
-  /// The call went out and may have been carried out, now or later.
+  /// The call may have been sent. The server may have executed it, or may still do so.
   NoAnswer,
 }
 
-/// An answer in whole.
+/// A complete response.
 #[derive(Clone, Debug)]
 pub struct Answer {
   pub status: u16,
@@ -40,56 +40,56 @@
   pub body: Vec<u8>,
 }
 
-/// A call to make.
+/// A request to send.
 #[derive(Clone, Debug)]
 pub struct Call<'a> {
   pub method: &'a str,
   pub target: &'a str,
-  /// Headers besides host and framing.
+  /// Headers other than `Host` and the framing.
   pub headers: &'a [(&'a str, &'a str)],
   pub body: &'a [u8],
-  /// Time for connecting.
+  /// Time limit for connecting.
   pub connect_timeout: Duration,
-  /// Longest wait for the answer's next bytes.
+  /// Time limit for the next bytes of the response.
   pub read_timeout: Duration,
-  /// Time for the whole answer.
+  /// Time limit for sending the request and receiving the complete response.
   pub total_timeout: Duration,
-  /// The call goes out before this moment or not at all, however long the process
-  /// stood still while it connected.
+  /// The request is sent before this moment or not at all, even if the process was suspended while
+  /// connecting.
   pub send_before: Option<Moment>,
 }
 
-/// Makes calls; connections are kept for the next one.
+/// Makes calls and keeps idle connections for reuse.
 #[derive(Debug, Default)]
 pub struct Client {
-  kept: Mutex<HashMap<SocketAddr, Vec<(Socket, Moment)>>>,
+  idle: Mutex<HashMap<SocketAddr, Vec<(Socket, Moment)>>>,
 }
 
 impl Client {
-  fn kept(&self, address: SocketAddr) -> Option<Socket> {
-    let mut kept = self.kept.lock().unwrap_or_else(PoisonError::into_inner);
-    let sockets = kept.get_mut(&address)?;
-    while let Some((mut socket, since)) = sockets.pop() {
-      if since.elapsed() < REST_MOST && socket.is_idle() {
+  fn take_idle(&self, address: SocketAddr) -> Option<Socket> {
+    let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
+    let sockets = idle.get_mut(&address)?;
+    while let Some((mut socket, idle_since)) = sockets.pop() {
+      if idle_since.elapsed() < MAX_IDLE_TIME && socket.is_idle() {
         return Some(socket);
       }
     }
     None
   }
 
-  fn keep(&self, address: SocketAddr, socket: Socket) {
-    let mut kept = self.kept.lock().unwrap_or_else(PoisonError::into_inner);
-    let sockets = kept.entry(address).or_default();
-    if sockets.len() < KEPT {
+  fn release(&self, address: SocketAddr, socket: Socket) {
+    let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
+    let sockets = idle.entry(address).or_default();
+    if sockets.len() < MAX_IDLE_PER_ADDRESS {
       sockets.push((socket, Moment::now()));
     }
   }
 
-  /// Makes one call, once.
+  /// Makes a call without retries.
   pub fn send(&self, address: SocketAddr, call: &Call) -> Result<Answer, Failure> {
-    let mut socket = match self.kept(address) {
+    let mut socket = match self.take_idle(address) {
       Some(socket) => socket,
-      None => Socket::connect(address, call.connect_timeout).map_err(|error| not_sent(&error))?,
+      None => Socket::connect(address, call.connect_timeout).map_err(|error| to_failure(&error))?,
     };
     if call
       .send_before
@@ -97,15 +97,15 @@
     {
       return Err(Failure::NotSent);
     }
-    let (answer, keep) = exchange(&mut socket, address, call).map_err(|_| Failure::NoAnswer)?;
-    if keep && socket.input.is_empty() {
-      self.keep(address, socket);
+    let (answer, reusable) = exchange(&mut socket, address, call).map_err(|_| Failure::NoAnswer)?;
+    if reusable && socket.input.is_empty() {
+      self.release(address, socket);
     }
     Ok(answer)
   }
 }
 
-fn not_sent(error: &io::Error) -> Failure {
+fn to_failure(error: &io::Error) -> Failure {
   match error.kind() {
     io::ErrorKind::ConnectionRefused => Failure::Refused,
     _ => Failure::NotSent,
@@ -113,8 +113,8 @@
 }
 
 fn exchange(socket: &mut Socket, address: SocketAddr, call: &Call) -> io::Result<(Answer, bool)> {
-  let last = Moment::now() + call.total_timeout;
-  let until = || last.min(Moment::now() + call.read_timeout);
+  let total_deadline = Moment::now() + call.total_timeout;
+  let read_deadline = || total_deadline.min(Moment::now() + call.read_timeout);
   let mut request = Request {
     method: call.method.into(),
     target: call.target.into(),
@@ -131,16 +131,16 @@
   };
   let mut bytes = request.encode(framing);
   bytes.extend_from_slice(call.body);
-  socket.write_all(&bytes, until())?;
+  socket.write_all(&bytes, read_deadline())?;
   let head = loop {
-    match Response::parse(&socket.input).map_err(|fault| io::Error::other(fault.0))? {
+    match Response::parse(&socket.input).map_err(|error| io::Error::other(error.0))? {
       Some((head, length)) => {
         socket.input.drain(..length);
         if head.status >= 200 {
           break head;
         }
       }
-      None => match socket.fill_by(until())? {
+      None => match socket.fill_by(read_deadline())? {
         Fill::Eof => return Err(io::ErrorKind::UnexpectedEof.into()),
         Fill::Data | Fill::Empty => {}
       },
@@ -148,31 +148,31 @@
   };
   let framing = head
     .framing(call.method)
-    .map_err(|fault| io::Error::other(fault.0))?;
-  let mut body = Decoder::new(framing);
-  let mut out = Vec::new();
+    .map_err(|error| io::Error::other(error.0))?;
+  let mut decoder = Decoder::new(framing);
+  let mut body = Vec::new();
   loop {
-    body
-      .decode(&mut socket.input, &mut out)
-      .map_err(|fault| io::Error::other(fault.0))?;
-    if body.is_complete() {
+    decoder
+      .decode(&mut socket.input, &mut body)
+      .map_err(|error| io::Error::other(error.0))?;
+    if decoder.is_complete() {
       break;
     }
-    if out.len() > ANSWER_MOST {
+    if body.len() > MAX_BODY_BYTES {
       return Err(io::ErrorKind::InvalidData.into());
     }
-    if socket.fill_by(until())? == Fill::Eof {
-      if body.finish() {
+    if socket.fill_by(read_deadline())? == Fill::Eof {
+      if decoder.finish() {
         break;
       }
       return Err(io::ErrorKind::UnexpectedEof.into());
     }
   }
-  let keep = head.keep_alive() && framing != Framing::Close;
+  let reusable = head.keep_alive() && framing != Framing::Close;
   let answer = Answer {
     status: head.status,
     headers: head.headers,
-    body: out,
+    body,
   };
-  Ok((answer, keep))
+  Ok((answer, reusable))
 }
--- a/src/socket.rs
+++ b/src/socket.rs
@@ -1,45 +1,45 @@
-//! Sockets that never block: reads, writes and waits with a bound on each.
+//! Non-blocking sockets: reads, writes and waits, each with a time limit.
 
 use crate::clock::Moment;
 use rustix::{
   event::{EventfdFlags, PollFd, PollFlags, Timespec, eventfd, poll},
   fd::{AsFd, OwnedFd},
 };
-use socket2::{Domain, SockRef, Socket as Raw, TcpKeepalive, Type};
+use socket2::{Domain, SockRef, Socket as RawSocket, TcpKeepalive, Type};
 use std::{
   io::{self, Read, Write},
   net::{SocketAddr, TcpStream},
   time::Duration,
 };
 
-/// Bytes taken from the system at once.
-const READ: usize = 16 << 10;
-/// After this long without a byte the system asks whether the peer is there.
-const KEEPALIVE: Duration = Duration::from_millis(1_000);
-/// Bytes without acknowledgement for this long end the connection; a peer behind
-/// a cut says nothing.
-const UNACKNOWLEDGED: Duration = Duration::from_millis(2_500);
+/// Size of the buffer for a single read.
+const READ_BYTES: usize = 16 << 10;
+/// Idle time before the first TCP keepalive probe, and the interval between probes.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_millis(1_000);
+/// TCP user timeout: the connection is closed if sent data is not acknowledged for this long, since
+/// a peer behind a network partition sends nothing.
+const USER_TIMEOUT: Duration = Duration::from_millis(2_500);
 
-/// Wakes a thread that waits for sockets.
+/// Wakes a thread that is waiting for sockets.
 #[derive(Debug)]
 pub struct Waker(OwnedFd);
 
 impl Waker {
-  /// A bell that has not rung.
+  /// Creates a waker without a pending wakeup.
   pub fn new() -> io::Result<Self> {
     let flags = EventfdFlags::NONBLOCK | EventfdFlags::CLOEXEC;
     Ok(Self(eventfd(0, flags)?))
   }
 
-  /// Wakes whoever waits, now or later.
+  /// Wakes the waiting thread, or the next one that waits.
   pub fn wake(&self) {
-    // A full counter has rung already.
+    // If the counter is full, a wakeup is already pending.
     let _ = rustix::io::write(&self.0, &1u64.to_ne_bytes());
   }
 
-  /// Silences the bell.
+  /// Clears a pending wakeup.
   pub fn clear(&self) {
-    // An empty counter is silent already.
+    // If the counter is zero, no wakeup is pending.
     let _ = rustix::io::read(&self.0, &mut [0u8; 8]);
   }
 }
@@ -50,36 +50,36 @@
   }
 }
 
-/// What a wait is for.
+/// The kind of readiness to wait for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Interest {
   Read,
   Write,
 }
 
-/// Waits until one is ready or the time has come; returns which are ready.
+/// Waits until a descriptor is ready or the deadline is reached; returns which ones are ready.
 pub fn wait<const N: usize>(
-  waits: [Option<(&dyn AsFd, Interest)>; N],
-  until: Moment,
+  sources: [Option<(&dyn AsFd, Interest)>; N],
+  deadline: Moment,
 ) -> io::Result<[bool; N]> {
   let mut ready = [false; N];
   let mut fds = Vec::with_capacity(N);
-  let mut places = Vec::with_capacity(N);
-  for (place, wait) in waits.iter().enumerate() {
-    if let Some((fd, want)) = wait {
-      let flags = match want {
+  let mut indices = Vec::with_capacity(N);
+  for (index, source) in sources.iter().enumerate() {
+    if let Some((fd, interest)) = source {
+      let flags = match interest {
         Interest::Read => PollFlags::IN,
         Interest::Write => PollFlags::OUT,
       };
       fds.push(PollFd::from_borrowed_fd(fd.as_fd(), flags));
-      places.push(place);
+      indices.push(index);
     }
   }
   loop {
-    let left = until.saturating_duration_since(Moment::now());
+    let remaining = deadline.saturating_duration_since(Moment::now());
     let timeout = Timespec {
-      tv_sec: left.as_secs() as i64,
-      tv_nsec: left.subsec_nanos().into(),
+      tv_sec: remaining.as_secs() as i64,
+      tv_nsec: remaining.subsec_nanos().into(),
     };
     match poll(&mut fds, Some(&timeout)) {
       Ok(_) => break,
@@ -87,32 +87,32 @@
       Err(error) => return Err(error.into()),
     }
   }
-  for (fd, place) in fds.iter().zip(places) {
-    ready[place] = !fd.revents().is_empty();
+  for (fd, index) in fds.iter().zip(indices) {
+    ready[index] = !fd.revents().is_empty();
   }
   Ok(ready)
 }
 
-/// What a read brought.
+/// Result of a read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fill {
   Data,
-  /// Nothing yet.
+  /// No data is available yet.
   Empty,
-  /// The peer has ended its side in order.
+  /// The peer has closed its side of the connection.
   Eof,
 }
 
-/// A connection that never blocks, with what has arrived on it.
+/// A non-blocking connection with an input buffer.
 #[derive(Debug)]
 pub struct Socket {
   pub stream: TcpStream,
-  /// Arrived and not yet used.
+  /// Data that has been read but not yet consumed.
   pub input: Vec<u8>,
 }
 
 impl Socket {
-  /// Takes an accepted connection.
+  /// Configures an accepted connection.
   pub fn accept(stream: TcpStream) -> io::Result<Self> {
     let raw = SockRef::from(&stream);
     raw.set_tcp_nodelay(true)?;
@@ -123,33 +123,34 @@
     })
   }
 
-  /// Connects within `limit`; a peer that falls silent later is noticed.
-  pub fn connect(address: SocketAddr, limit: Duration) -> io::Result<Self> {
-    let raw = Raw::new(Domain::for_address(address), Type::STREAM, None)?;
+  /// Connects within `timeout`. A peer that stops responding later is detected by keepalive probes
+  /// and the TCP user timeout.
+  pub fn connect(address: SocketAddr, timeout: Duration) -> io::Result<Self> {
+    let raw = RawSocket::new(Domain::for_address(address), Type::STREAM, None)?;
     raw.set_tcp_nodelay(true)?;
-    raw.connect_timeout(&address.into(), limit)?;
+    raw.connect_timeout(&address.into(), timeout)?;
     raw.set_nonblocking(true)?;
-    let probes = TcpKeepalive::new()
-      .with_time(KEEPALIVE)
-      .with_interval(KEEPALIVE)
+    let keepalive = TcpKeepalive::new()
+      .with_time(KEEPALIVE_INTERVAL)
+      .with_interval(KEEPALIVE_INTERVAL)
       .with_retries(2);
-    raw.set_tcp_keepalive(&probes)?;
-    raw.set_tcp_user_timeout(Some(UNACKNOWLEDGED))?;
+    raw.set_tcp_keepalive(&keepalive)?;
+    raw.set_tcp_user_timeout(Some(USER_TIMEOUT))?;
     Ok(Self {
       stream: raw.into(),
       input: Vec::new(),
     })
   }
 
-  /// The connection ends with a reset when it is dropped: an answer whose end is that of its
-  /// connection must not look whole when it broke off.
+  /// Closes the connection with a reset. An incomplete response that ends with its connection must
+  /// not look complete.
   pub fn reset(self) -> io::Result<()> {
     SockRef::from(&self.stream).set_linger(Some(Duration::ZERO))
   }
 
-  /// Takes what has arrived.
+  /// Reads available data into the input buffer.
   pub fn fill(&mut self) -> io::Result<Fill> {
-    let mut bytes = [0; READ];
+    let mut bytes = [0; READ_BYTES];
     loop {
       match self.stream.read(&mut bytes) {
         Ok(0) => return Ok(Fill::Eof),
@@ -164,7 +165,7 @@
     }
   }
 
-  /// Writes what the system takes now; returns how much.
+  /// Writes as much as possible without blocking; returns the number of bytes written.
   pub fn try_write(&mut self, bytes: &[u8]) -> io::Result<usize> {
     loop {
       match self.stream.write(bytes) {
@@ -177,31 +178,31 @@
     }
   }
 
-  /// Writes everything by a moment.
-  pub fn write_all(&mut self, mut bytes: &[u8], until: Moment) -> io::Result<()> {
+  /// Writes all bytes before the deadline.
+  pub fn write_all(&mut self, mut bytes: &[u8], deadline: Moment) -> io::Result<()> {
     loop {
       let length = self.try_write(bytes)?;
       bytes = &bytes[length..];
       if bytes.is_empty() {
         return Ok(());
       }
-      let [ready] = wait([Some((&self.stream, Interest::Write))], until)?;
+      let [ready] = wait([Some((&self.stream, Interest::Write))], deadline)?;
       if !ready {
         return Err(io::ErrorKind::TimedOut.into());
       }
     }
   }
 
-  /// Waits for bytes by a moment and takes them.
-  pub fn fill_by(&mut self, until: Moment) -> io::Result<Fill> {
-    let [ready] = wait([Some((&self.stream, Interest::Read))], until)?;
+  /// Waits for data until the deadline and reads it into the input buffer.
+  pub fn fill_by(&mut self, deadline: Moment) -> io::Result<Fill> {
+    let [ready] = wait([Some((&self.stream, Interest::Read))], deadline)?;
     match ready {
       true => self.fill(),
       false => Err(io::ErrorKind::TimedOut.into()),
     }
   }
 
-  /// Whether nothing has arrived and the peer has not ended the connection.
+  /// Returns whether no data has arrived and the peer has not closed the connection.
   pub fn is_idle(&mut self) -> bool {
     self.input.is_empty() && matches!(self.fill(), Ok(Fill::Empty))
   }
--- a/src/sse.rs
+++ b/src/sse.rs
@@ -1,26 +1,26 @@
-//! Streams of events: whole events are distinguished from broken ones, so that a
-//! stream can go on at another backend server after its last whole event.
+//! Server-sent events. Complete events are separated from partial ones, so that a stream can be
+//! resumed on another backend server after its last complete event.
 
-/// Takes a stream apart as its bytes arrive.
+/// Splits a stream into events as its bytes arrive.
 #[derive(Clone, Debug, Default)]
 pub struct Parser {
   partial: Vec<u8>,
-  /// Id of the last whole event.
+  /// Id of the last complete event that has one.
   pub last_id: Option<String>,
-  /// Whole events seen.
+  /// Number of complete events.
   pub count: u64,
 }
 
 impl Parser {
-  /// Takes bytes and gives those that complete events.
+  /// Adds bytes of the stream and returns all complete events that have not been returned yet.
   pub fn push(&mut self, bytes: &[u8]) -> Vec<u8> {
-    let before = self.partial.len();
+    let checked = self.partial.len();
     self.partial.extend_from_slice(bytes);
-    let Some(end) = last_end(&self.partial, before) else {
+    let Some(end) = last_event_end(&self.partial, checked) else {
       return Vec::new();
     };
-    let whole: Vec<u8> = self.partial.drain(..end).collect();
-    for line in whole.split(|byte| *byte == b'\n') {
+    let complete: Vec<u8> = self.partial.drain(..end).collect();
+    for line in complete.split(|byte| *byte == b'\n') {
       if line.is_empty() || line == b"\r" {
         self.count += 1;
       }
@@ -30,27 +30,29 @@
       }
     }
     self.count = self.count.saturating_sub(1);
-    whole
+    complete
   }
 
-  /// Bytes of an event whose end has not arrived.
+  /// Returns the bytes after the last complete event.
   pub fn partial(&self) -> &[u8] {
     &self.partial
   }
 
-  /// Forgets the event whose end did not arrive.
+  /// Discards the bytes after the last complete event.
   pub fn discard_partial(&mut self) {
     self.partial.clear();
   }
 }
 
-/// Where the last whole event ends.
-fn last_end(bytes: &[u8], before: usize) -> Option<usize> {
-  let from = before.saturating_sub(3);
+/// Returns the offset after the last complete event. Bytes before `checked` were searched already.
+fn last_event_end(bytes: &[u8], checked: usize) -> Option<usize> {
+  let from = checked.saturating_sub(3);
   let tail = &bytes[from..];
-  let ends = |mark: &[u8]| {
-    let at = tail.windows(mark.len()).rposition(|window| window == mark);
-    at.map(|at| from + at + mark.len())
+  let end_after = |separator: &[u8]| {
+    let start = tail
+      .windows(separator.len())
+      .rposition(|window| window == separator);
+    start.map(|start| from + start + separator.len())
   };
-  ends(b"\n\n").max(ends(b"\r\n\r\n"))
+  end_after(b"\n\n").max(end_after(b"\r\n\r\n"))
 }
--- a/src/web.rs
+++ b/src/web.rs
@@ -1,10 +1,10 @@
-//! The HTTP server of the callers' port: a thread for each connection, with
-//! bounds on connections, sizes and waits.
+//! HTTP server of the caller port: one thread per connection, with limits on the number of
+//! connections, message sizes and waiting times.
 //!
-//! `tiny_http` bounds neither connections nor waits, and its accepting thread
-//! ends when descriptors run out; `oxhttp` bounds both but buffers streams. So
-//! the head is parsed by `httparse`, bodies by `chunked_transfer`, and what lies
-//! between is here. docs/DESIGN.md has the measurements.
+//! `tiny_http` limits neither connections nor waiting times, and its accept thread ends when file
+//! descriptors run out. `oxhttp` limits both but buffers streams. This module therefore parses
+//! heads with `httparse`, decodes chunked bodies with `chunked_transfer`, and implements the rest.
+//! docs/DESIGN.md has the measurements.
 
 use crate::clock::Moment;
 use chunked_transfer::{Decoder, Encoder};
@@ -20,54 +20,54 @@
   time::Duration,
 };
 
-/// Headers of one request, at most.
-const HEADERS: usize = 64;
-/// Pause after an accept that failed, as when descriptors run out.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
-/// Longest wait to write to a caller that is turned away.
-const TURN_AWAY: Duration = Duration::from_millis(100);
+/// Maximum number of headers of a request.
+const MAX_HEADERS: usize = 64;
+/// Delay after a failed accept, for example when file descriptors run out.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
+/// Time limit for writing the response to a rejected connection.
+const REJECTION_WRITE_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Bounds on what callers may use.
+/// Limits on what callers may use.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
   pub connections: usize,
-  /// Bytes of a request's head.
+  /// Maximum size of a request's head.
   pub head_bytes: usize,
-  /// Bytes of a request's body.
+  /// Maximum size of a request's body.
   pub body_bytes: usize,
   /// From the first byte of a request to its last.
   pub request_timeout: Duration,
-  /// Between two requests of a connection.
+  /// Between two requests on a connection.
   pub idle_timeout: Duration,
-  /// For a caller that does not read.
+  /// For a caller that does not read its response.
   pub write_timeout: Duration,
-  /// Stack of a connection's thread, bytes.
+  /// Stack size of a connection's thread.
   pub stack_bytes: usize,
 }
 
 /// Why a request could not be read.
-enum Fault {
-  /// The connection ended, or nothing came in time.
-  Gone,
-  Bad(String),
+enum ReadError {
+  /// The connection was closed, or the request did not arrive in time.
+  Closed,
+  Invalid(String),
   TooLarge(String),
 }
 
-impl From<io::Error> for Fault {
+impl From<io::Error> for ReadError {
   fn from(_: io::Error) -> Self {
-    Self::Gone
+    Self::Closed
   }
 }
 
-/// Reads until a moment, however the bytes are spread.
-struct Timed {
+/// A reader with one deadline for all its reads, however few bytes each of them returns.
+struct DeadlineReader {
   stream: TcpStream,
-  until: Moment,
+  deadline: Moment,
 }
 
-impl Read for Timed {
+impl Read for DeadlineReader {
   fn read(&mut self, bytes: &mut [u8]) -> io::Result<usize> {
-    let left = self.until.saturating_duration_since(Moment::now());
+    let left = self.deadline.saturating_duration_since(Moment::now());
     if left.is_zero() {
       return Err(io::ErrorKind::TimedOut.into());
     }
@@ -76,7 +76,7 @@
   }
 }
 
-/// A request with the connection on which it is answered.
+/// A request and the connection for its response.
 pub struct Request {
   pub method: String,
   /// Path and query.
@@ -86,53 +86,53 @@
   /// Address of the caller.
   pub peer: SocketAddr,
   stream: TcpStream,
-  keep: bool,
+  keep_alive: bool,
 }
 
 impl Request {
-  /// The value of a header.
+  /// Returns the first value of a header.
   pub fn header(&self, name: &str) -> Option<&str> {
     let mut headers = self.headers.iter();
-    let found = headers.find(|(field, _)| field.eq_ignore_ascii_case(name));
-    found.map(|(_, value)| value.as_str())
+    let header = headers.find(|(field, _)| field.eq_ignore_ascii_case(name));
+    header.map(|(_, value)| value.as_str())
   }
 
-  /// The path without its query.
+  /// Returns the target without its query.
   pub fn path(&self) -> &str {
     self.target.split('?').next().unwrap_or_default()
   }
 
-  /// Answers whole.
+  /// Sends a complete response.
   pub fn respond(&mut self, status: u16, headers: &[(&str, &str)], body: &[u8]) {
-    let text = head(
+    let head = encode_head(
       status,
       headers,
       &format!("content-length: {}", body.len()),
-      self.keep,
+      self.keep_alive,
     );
     let written = self
       .stream
-      .write_all(&[text.as_bytes(), body].concat())
+      .write_all(&[head.as_bytes(), body].concat())
       .and_then(|()| self.stream.flush());
-    // A caller that is gone needs no answer, and no further request.
-    self.keep &= written.is_ok();
+    // If the caller has disconnected, the response is dropped and no further request is read.
+    self.keep_alive &= written.is_ok();
   }
 
-  /// Begins an answer whose parts leave as they are written.
+  /// Starts a chunked response with status 200 whose parts are sent as they are written.
   pub fn stream(&mut self, headers: &[(&str, &str)]) -> io::Result<Writer> {
-    let text = head(200, headers, "transfer-encoding: chunked", self.keep);
-    self.stream.write_all(text.as_bytes())?;
+    let head = encode_head(200, headers, "transfer-encoding: chunked", self.keep_alive);
+    self.stream.write_all(head.as_bytes())?;
     Ok(Writer {
       encoder: Encoder::new(self.stream.try_clone()?),
     })
   }
 
-  /// Ends the connection after this request.
+  /// Closes the connection after this request.
   pub fn close(&mut self) {
-    self.keep = false;
+    self.keep_alive = false;
   }
 
-  /// Whether the caller has closed its connection.
+  /// Returns whether the caller has closed its connection.
   pub fn is_disconnected(&self) -> bool {
     let mut byte = [0];
     if self.stream.set_nonblocking(true).is_err() {
@@ -140,25 +140,25 @@
     }
     let peeked = self.stream.peek(&mut byte);
     let restored = self.stream.set_nonblocking(false);
-    let waits = |error: &io::Error| error.kind() == io::ErrorKind::WouldBlock;
-    restored.is_err() || !(matches!(peeked, Ok(1..)) || peeked.as_ref().is_err_and(waits))
+    let would_block = |error: &io::Error| error.kind() == io::ErrorKind::WouldBlock;
+    restored.is_err() || !(matches!(peeked, Ok(1..)) || peeked.as_ref().is_err_and(would_block))
   }
 }
 
-/// An answer in parts.
+/// Writes a chunked response.
 pub struct Writer {
   encoder: Encoder<TcpStream>,
 }
 
 impl Writer {
-  /// Sends a part at once.
+  /// Sends a part immediately.
   pub fn send(&mut self, part: &str) -> io::Result<()> {
     self.encoder.write_all(part.as_bytes())?;
     self.encoder.flush()
   }
 }
 
-fn head(status: u16, headers: &[(&str, &str)], length: &str, keep: bool) -> String {
+fn encode_head(status: u16, headers: &[(&str, &str)], framing: &str, keep_alive: bool) -> String {
   let reason = match status {
     200 => "OK",
     202 => "Accepted",
@@ -171,43 +171,43 @@
     503 => "Service Unavailable",
     _ => "Answer",
   };
-  let connection = if keep { "keep-alive" } else { "close" };
-  let mut text = format!("HTTP/1.1 {status} {reason}\r\n{length}\r\nconnection: {connection}\r\n");
+  let connection = if keep_alive { "keep-alive" } else { "close" };
+  let mut head = format!("HTTP/1.1 {status} {reason}\r\n{framing}\r\nconnection: {connection}\r\n");
   for (name, value) in headers {
-    text += &format!("{name}: {value}\r\n");
+    head += &format!("{name}: {value}\r\n");
   }
-  text + "\r\n"
+  head + "\r\n"
 }
 
-/// Binds an address; `handle` answers each request, `busy` is the body for
-/// callers beyond the bound on connections.
+/// Binds an address and serves it in a thread. `handle` responds to each request; `busy_body` is
+/// the response body for connections beyond the limit.
 pub fn bind(
   address: &str,
-  bounds: Limits,
-  busy: String,
+  limits: Limits,
+  busy_body: String,
   handle: impl Fn(&mut Request) + Send + Sync + 'static,
 ) -> io::Result<SocketAddr> {
   let listener = listen(address)?;
   let address = listener.local_addr()?;
   let handle = Arc::new(handle);
-  let open = Arc::new(AtomicUsize::new(0));
+  let open_connections = Arc::new(AtomicUsize::new(0));
   let builder = thread::Builder::new().name("callers".into());
   builder.spawn(move || {
     loop {
       match listener.accept() {
-        Ok((stream, peer)) => admit(stream, peer, bounds, &busy, &open, &handle),
-        Err(_) => thread::sleep(ACCEPT_PAUSE),
+        Ok((stream, peer)) => accept(stream, peer, limits, &busy_body, &open_connections, &handle),
+        Err(_) => thread::sleep(ACCEPT_RETRY_DELAY),
       }
     }
   })?;
   Ok(address)
 }
 
-/// Bursts come at once: the usual backlog of 128 would drop connections, which
-/// callers try again only after a second.
+/// With the usual backlog of 128, a burst would drop connections, which callers retry only after a
+/// second.
 const BACKLOG: i32 = 1024;
 
-/// A listening socket with room for a burst.
+/// Opens a listening socket with a backlog that is large enough for bursts.
 pub fn listen(address: &str) -> io::Result<TcpListener> {
   let address: SocketAddr = address.parse().map_err(io::Error::other)?;
   let socket = Socket::new(Domain::for_address(address), Type::STREAM, None)?;
@@ -217,99 +217,99 @@
   Ok(socket.into())
 }
 
-fn admit<F: Fn(&mut Request) + Send + Sync + 'static>(
+fn accept<F: Fn(&mut Request) + Send + Sync + 'static>(
   stream: TcpStream,
   peer: SocketAddr,
-  bounds: Limits,
-  busy: &str,
-  open: &Arc<AtomicUsize>,
+  limits: Limits,
+  busy_body: &str,
+  open_connections: &Arc<AtomicUsize>,
   handle: &Arc<F>,
 ) {
-  if open.fetch_add(1, Ordering::Relaxed) >= bounds.connections {
-    open.fetch_sub(1, Ordering::Relaxed);
-    turn_away(stream, busy);
+  if open_connections.fetch_add(1, Ordering::Relaxed) >= limits.connections {
+    open_connections.fetch_sub(1, Ordering::Relaxed);
+    reject(stream, busy_body);
     return;
   }
-  let (counted, handle) = (open.clone(), handle.clone());
+  let (slot_count, handle) = (open_connections.clone(), handle.clone());
   let builder = thread::Builder::new()
     .name("caller".into())
-    .stack_size(bounds.stack_bytes);
+    .stack_size(limits.stack_bytes);
   let spawned = builder.spawn(move || {
-    // However the connection ends, its place is free again.
-    let _place = Place(counted);
-    serve(stream, peer, bounds, &*handle);
+    // Releases the slot, however the thread ends.
+    let _slot = Slot(slot_count);
+    serve(stream, peer, limits, &*handle);
   });
   if spawned.is_err() {
-    open.fetch_sub(1, Ordering::Relaxed);
+    open_connections.fetch_sub(1, Ordering::Relaxed);
   }
 }
 
-struct Place(Arc<AtomicUsize>);
+struct Slot(Arc<AtomicUsize>);
 
-impl Drop for Place {
+impl Drop for Slot {
   fn drop(&mut self) {
     self.0.fetch_sub(1, Ordering::Relaxed);
   }
 }
 
-fn turn_away(mut stream: TcpStream, busy: &str) {
+fn reject(mut stream: TcpStream, busy_body: &str) {
   let headers = [("content-type", "application/json"), ("retry-after", "1")];
-  let text = head(
+  let head = encode_head(
     503,
     &headers,
-    &format!("content-length: {}", busy.len()),
+    &format!("content-length: {}", busy_body.len()),
     false,
   );
-  // Nothing is owed to a caller that does not take even this.
-  let _ = stream.set_write_timeout(Some(TURN_AWAY));
-  let _ = stream.write_all(format!("{text}{busy}").as_bytes());
+  // Best effort: the connection is closed even if the caller does not read this response.
+  let _ = stream.set_write_timeout(Some(REJECTION_WRITE_TIMEOUT));
+  let _ = stream.write_all(format!("{head}{busy_body}").as_bytes());
 }
 
-fn serve(stream: TcpStream, peer: SocketAddr, bounds: Limits, handle: &impl Fn(&mut Request)) {
-  let ready = stream
+fn serve(stream: TcpStream, peer: SocketAddr, limits: Limits, handle: &impl Fn(&mut Request)) {
+  let configured = stream
     .set_nodelay(true)
-    .and_then(|()| stream.set_write_timeout(Some(bounds.write_timeout)));
-  let Ok(reading) = stream.try_clone() else {
+    .and_then(|()| stream.set_write_timeout(Some(limits.write_timeout)));
+  let Ok(read_stream) = stream.try_clone() else {
     return;
   };
-  if ready.is_err() {
+  if configured.is_err() {
     return;
   }
-  let timed = Timed {
-    stream: reading,
-    until: Moment::now() + bounds.idle_timeout,
+  let deadline_reader = DeadlineReader {
+    stream: read_stream,
+    deadline: Moment::now() + limits.idle_timeout,
   };
-  let mut reader = BufReader::new(timed);
+  let mut reader = BufReader::new(deadline_reader);
   let mut stream = stream;
   loop {
-    reader.get_mut().until = Moment::now() + bounds.idle_timeout;
+    reader.get_mut().deadline = Moment::now() + limits.idle_timeout;
     if !matches!(reader.fill_buf(), Ok(bytes) if !bytes.is_empty()) {
       return;
     }
-    reader.get_mut().until = Moment::now() + bounds.request_timeout;
-    let mut request = match read(&mut reader, &stream, peer, bounds) {
+    reader.get_mut().deadline = Moment::now() + limits.request_timeout;
+    let mut request = match read_request(&mut reader, &stream, peer, limits) {
       Ok(request) => request,
-      Err(fault) => return refuse(stream, &fault),
+      Err(error) => return respond_to_error(stream, &error),
     };
     handle(&mut request);
-    if !request.keep {
+    if !request.keep_alive {
       return;
     }
     stream = request.stream;
   }
 }
 
-fn refuse(mut stream: TcpStream, fault: &Fault) {
-  let (status, text) = match fault {
-    Fault::Gone => return,
-    Fault::Bad(text) => (400, text),
-    Fault::TooLarge(text) => (413, text),
+fn respond_to_error(mut stream: TcpStream, error: &ReadError) {
+  let (status, text) = match error {
+    ReadError::Closed => return,
+    ReadError::Invalid(text) => (400, text),
+    ReadError::TooLarge(text) => (413, text),
   };
   let body = serde_json::json!({ "error": {
     "type": "invalid_request", "message": text, "verdict": "not-run" } });
   let body = body.to_string();
   let headers = [("content-type", "application/json")];
-  let head = head(
+  let head = encode_head(
     status,
     &headers,
     &format!("content-length: {}", body.len()),
@@ -318,18 +318,18 @@
   let _ = stream.write_all(format!("{head}{body}").as_bytes());
 }
 
-fn read(
-  reader: &mut BufReader<Timed>,
+fn read_request(
+  reader: &mut BufReader<DeadlineReader>,
   stream: &TcpStream,
   peer: SocketAddr,
-  bounds: Limits,
-) -> Result<Request, Fault> {
-  let text = read_head(reader, bounds.head_bytes)?;
-  let mut headers = [httparse::EMPTY_HEADER; HEADERS];
+  limits: Limits,
+) -> Result<Request, ReadError> {
+  let head = read_head(reader, limits.head_bytes)?;
+  let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
   let mut parsed = httparse::Request::new(&mut headers);
-  let status = parsed.parse(&text);
+  let status = parsed.parse(&head);
   if !matches!(status, Ok(httparse::Status::Complete(_))) {
-    return Err(Fault::Bad("head: not an HTTP request".into()));
+    return Err(ReadError::Invalid("head: not an HTTP request".into()));
   }
   let headers = parsed.headers.iter().map(|header| {
     let value = String::from_utf8_lossy(header.value).into_owned();
@@ -342,28 +342,30 @@
     body: Vec::new(),
     peer,
     stream: stream.try_clone()?,
-    keep: parsed.version == Some(1),
+    keep_alive: parsed.version == Some(1),
   };
-  let closes = |value: &str| value.eq_ignore_ascii_case("close");
-  request.keep &= !request.header("connection").is_some_and(closes);
+  let is_close = |value: &str| value.eq_ignore_ascii_case("close");
+  request.keep_alive &= !request.header("connection").is_some_and(is_close);
   if request.header("expect").is_some() {
     request.stream.write_all(b"HTTP/1.1 100 Continue\r\n\r\n")?;
   }
-  request.body = read_body(reader, &request, bounds.body_bytes)?;
+  request.body = read_body(reader, &request, limits.body_bytes)?;
   Ok(request)
 }
 
-fn read_head(reader: &mut BufReader<Timed>, limit: usize) -> Result<Vec<u8>, Fault> {
-  let mut text = Vec::new();
+fn read_head(reader: &mut BufReader<DeadlineReader>, limit: usize) -> Result<Vec<u8>, ReadError> {
+  let mut head = Vec::new();
   loop {
-    let before = text.len();
-    let room = (limit - before) as u64;
-    let length = reader.take(room).read_until(b'\n', &mut text)?;
-    match &text[before..] {
-      b"\r\n" | b"\n" => return Ok(text),
-      _ if length == 0 && room > 0 => return Err(Fault::Gone),
-      _ if text.len() >= limit => {
-        return Err(Fault::TooLarge(format!("head: more than {limit} bytes")));
+    let line_start = head.len();
+    let remaining = (limit - line_start) as u64;
+    let length = reader.take(remaining).read_until(b'\n', &mut head)?;
+    match &head[line_start..] {
+      b"\r\n" | b"\n" => return Ok(head),
+      _ if length == 0 && remaining > 0 => return Err(ReadError::Closed),
+      _ if head.len() >= limit => {
+        return Err(ReadError::TooLarge(format!(
+          "head: more than {limit} bytes"
+        )));
       }
       _ => {}
     }
@@ -371,11 +373,11 @@
 }
 
 fn read_body(
-  reader: &mut BufReader<Timed>,
+  reader: &mut BufReader<DeadlineReader>,
   request: &Request,
   limit: usize,
-) -> Result<Vec<u8>, Fault> {
-  let too_large = || Fault::TooLarge(format!("body: more than {limit} bytes"));
+) -> Result<Vec<u8>, ReadError> {
+  let too_large = || ReadError::TooLarge(format!("body: more than {limit} bytes"));
   let mut body = Vec::new();
   let coding = request.header("transfer-encoding");
   if coding.is_some_and(|coding| coding.eq_ignore_ascii_case("chunked")) {
@@ -393,7 +395,7 @@
   };
   let length: usize = length
     .parse()
-    .map_err(|_| Fault::Bad(format!("content-length: `{length}` is not a number")))?;
+    .map_err(|_| ReadError::Invalid(format!("content-length: `{length}` is not a number")))?;
   if length > limit {
     return Err(too_large());
   }
