--- a/src/attempt.rs
+++ b/src/attempt.rs
@@ -1,28 +1,28 @@
-//! One attempt to serve a request on a backend server.
+//! Attempts to serve a request on a backend server.
 
 use crate::{replica, request::Ticket, verdict::Verdict};
 
-/// Where an attempt goes.
+/// An attempt with the backend server that it is sent to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Attempt {
   pub ticket: Ticket,
-  /// Counts the attempts of one request, from 1.
+  /// Number of this attempt among those of its request, from 1.
   pub number: u32,
   /// Address of the backend server, `ip:port`.
   pub address: String,
-  /// The replica, for a model.
+  /// The replica of the model; `None` for a plain service.
   pub replica: Option<replica::Id>,
 }
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum End {
-  /// The caller has the whole answer.
+  /// The caller has received the complete response.
   Whole,
-  /// The backend server declined without running it.
+  /// The backend server declined the request without running it.
   Declined,
-  /// The connection broke or the server failed.
+  /// The connection or the backend server failed.
   Broken(Verdict),
-  /// The caller is gone; the stream was cancelled.
+  /// The caller disconnected and the stream was cancelled.
   CallerGone,
 }
--- a/src/bucket.rs
+++ b/src/bucket.rs
@@ -1,47 +1,51 @@
-//! A token bucket in which urgent calls go before others.
+//! A token bucket with a reserve for urgent calls.
 
 use crate::clock::Moment;
 use std::time::Duration;
 
-/// Part of the bucket that is kept for urgent calls.
-const RESERVE: f64 = 0.25;
+/// Fraction of the bucket that is reserved for urgent calls.
+const URGENT_FRACTION: f64 = 0.25;
 
-/// A token bucket; holds one second's worth of calls.
+/// A token bucket that holds the calls of one second.
 #[derive(Debug)]
 pub struct Bucket {
   rate: f64,
   tokens: f64,
-  filled: Moment,
+  refilled_at: Moment,
 }
 
 impl Bucket {
-  /// A full bucket for `rate` calls a second.
+  /// Creates a full bucket for `rate` calls per second.
   pub fn new(rate: u32, now: Moment) -> Self {
     let rate = f64::from(rate);
     Self {
       rate,
       tokens: rate,
-      filled: now,
+      refilled_at: now,
     }
   }
 
-  /// Changes the rate.
+  /// Sets the rate, in calls per second.
   pub fn set_rate(&mut self, rate: u32) {
     self.rate = f64::from(rate);
     self.tokens = self.tokens.min(self.rate);
   }
 
-  /// Takes a token, or says how long to wait for one.
+  /// Takes a token, or returns the time until one is available.
   pub fn acquire(&mut self, urgent: bool, now: Moment) -> Result<(), Duration> {
-    let gained = (now - self.filled).as_secs_f64() * self.rate;
-    self.tokens = (self.tokens + gained).min(self.rate);
-    self.filled = now;
-    let floor = if urgent { 0.0 } else { self.rate * RESERVE };
-    let short = floor + 1.0 - self.tokens;
-    if short <= 0.0 {
+    let refill = (now - self.refilled_at).as_secs_f64() * self.rate;
+    self.tokens = (self.tokens + refill).min(self.rate);
+    self.refilled_at = now;
+    let reserve = if urgent {
+      0.0
+    } else {
+      self.rate * URGENT_FRACTION
+    };
+    let shortfall = reserve + 1.0 - self.tokens;
+    if shortfall <= 0.0 {
       self.tokens -= 1.0;
       return Ok(());
     }
-    Err(Duration::from_secs_f64(short / self.rate))
+    Err(Duration::from_secs_f64(shortfall / self.rate))
   }
 }
--- a/src/completions.rs
+++ b/src/completions.rs
@@ -1,4 +1,4 @@
-//! Completions: from a caller's request to its whole answer.
+//! Completions, from a caller's request to its complete response.
 
 use crate::{
   attempt::End,
@@ -17,12 +17,12 @@
   time::Duration,
 };
 
-/// Pause between two looks whether a waiting caller is still there.
-const LOOK: Duration = Duration::from_millis(250);
-/// Tokens of a completion that names no bound.
+/// Interval for checking whether a waiting caller is still connected.
+const DISCONNECT_CHECK_INTERVAL: Duration = Duration::from_millis(250);
+/// Maximum number of tokens for a completion that does not set one.
 pub const MAX_TOKENS: u32 = 256;
 
-/// A completion or chat request, as callers send it.
+/// Body of a completion or chat request.
 #[derive(Deserialize)]
 struct Body {
   model: String,
@@ -58,7 +58,7 @@
   Ok(lines.collect::<Vec<_>>().join("\n"))
 }
 
-/// Carries a completion or chat request.
+/// Serves a completion or chat request.
 pub fn complete(shared: &Shared, request: &mut Request, chat: bool) {
   let parsed = serde_json::from_slice::<Body>(&request.body)
     .map_err(|error| format!("body: {error}"))
@@ -74,7 +74,7 @@
     Err(text) => return reply::error(request, 400, "invalid_request", &text),
   };
   let (ticket, directives) = shared.open_ticket();
-  let ask = Descriptor {
+  let descriptor = Descriptor {
     ticket,
     work: Work::Model {
       model: body.model.clone(),
@@ -86,23 +86,30 @@
   let id = format!("{}-{}-{}", shared.settings.instance, shared.boot, ticket.0);
   let mut reply = Reply::open(request, &id, &body.model, chat, body.stream);
   let max_tokens = body.max_tokens.unwrap_or(MAX_TOKENS);
-  run(shared, ask, &directives, prompt, max_tokens, &mut reply);
+  run(
+    shared,
+    descriptor,
+    &directives,
+    prompt,
+    max_tokens,
+    &mut reply,
+  );
   shared.close_ticket(ticket);
 }
 
-/// Carries a model's request from admission to its final answer.
+/// Runs a completion from admission to its final response, including all attempts.
 fn run(
   shared: &Shared,
-  ask: Descriptor,
+  descriptor: Descriptor,
   directives: &Receiver<Directive>,
   prompt: String,
   max_tokens: u32,
   reply: &mut Reply,
 ) {
-  let ticket = ask.ticket;
-  let deadline = ask.deadline;
-  let priority = u8::from(ask.class == Class::Batch);
-  let Work::Model { model } = ask.work.clone() else {
+  let ticket = descriptor.ticket;
+  let deadline = descriptor.deadline;
+  let priority = u8::from(descriptor.class == Class::Batch);
+  let Work::Model { model } = descriptor.work.clone() else {
     return;
   };
   let request = format!("{}/{}/{}", shared.settings.instance, shared.boot, ticket.0);
@@ -116,22 +123,22 @@
     priority,
     resume: Vec::new(),
   };
-  shared.notify(Event::RequestArrived(ask));
+  shared.notify(Event::RequestArrived(descriptor));
   loop {
-    let attempt = match await_turn(shared, directives, ticket, deadline, reply) {
+    let attempt = match wait_for_directive(shared, directives, ticket, deadline, reply) {
       Some(Directive::Send(attempt)) => attempt,
       Some(Directive::Refuse(refusal)) => return reply.refuse(refusal),
       _ => return reply.refuse(queue_full()),
     };
     completion.replica = attempt.replica.map(|id| id.0).unwrap_or_default();
     completion.attempt = format!("{}/{}", completion.request, attempt.number);
-    let mut taken = Vec::new();
+    let mut tokens = Vec::new();
     let end = engine::complete(&attempt, &completion, &shared.settings.limits, |text| {
-      let there = reply.token(&text);
-      taken.push(text);
-      there
+      let connected = reply.push_token(&text);
+      tokens.push(text);
+      connected
     });
-    completion.resume.append(&mut taken);
+    completion.resume.append(&mut tokens);
     if end == End::CallerGone {
       engine::cancel(
         &attempt.address,
@@ -149,22 +156,22 @@
   }
 }
 
-/// The next directive, with a look now and then whether the caller is still
-/// there; one that has gone gives its place in the queue back.
-fn await_turn(
+/// Waits for the next directive and checks periodically whether the caller is still connected. If
+/// it is not, the reducer is notified so that the request leaves the queue.
+fn wait_for_directive(
   shared: &Shared,
   directives: &Receiver<Directive>,
   ticket: Ticket,
   deadline: u64,
   reply: &Reply,
 ) -> Option<Directive> {
-  let until = deadline + DEADLINE_GRACE.as_millis() as u64;
+  let give_up_at = deadline + DEADLINE_GRACE.as_millis() as u64;
   let mut notified = false;
-  while shared.now() < until {
-    match directives.recv_timeout(LOOK) {
+  while shared.now() < give_up_at {
+    match directives.recv_timeout(DISCONNECT_CHECK_INTERVAL) {
       Ok(directive) => return Some(directive),
       Err(RecvTimeoutError::Disconnected) => return None,
-      Err(RecvTimeoutError::Timeout) if !notified && reply.gone() => {
+      Err(RecvTimeoutError::Timeout) if !notified && reply.is_disconnected() => {
         notified = true;
         shared.notify(Event::CallerLeft { ticket });
       }
@@ -174,20 +181,22 @@
   None
 }
 
-/// Runs one item of a batch.
+/// Runs an item of a batch.
 pub fn run_item(
   shared: &Shared,
-  ask: Descriptor,
+  descriptor: Descriptor,
   directives: &Receiver<Directive>,
   prompt: String,
   max_tokens: u32,
 ) -> Item {
-  let mut reply = Reply::gather();
-  run(shared, ask, directives, prompt, max_tokens, &mut reply);
-  reply.item()
+  let mut reply = Reply::buffered();
+  run(
+    shared, descriptor, directives, prompt, max_tokens, &mut reply,
+  );
+  reply.into_item()
 }
 
-/// Lists the models in force.
+/// Responds with the list of models in the current catalog.
 pub fn models(shared: &Shared, request: &mut Request) {
   let names = shared.look(|state| state.catalog.models.keys().cloned().collect::<Vec<_>>());
   let models: Vec<_> = names
--- a/src/dialect.rs
+++ b/src/dialect.rs
@@ -1,41 +1,41 @@
-//! Header names that callers, this system and backend servers use between them.
+//! Names of the headers between callers, this system and backend servers.
 
-/// The names in use on one deployment.
+/// Header names of one deployment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Dialect {
-  /// Identifies one request of a caller.
+  /// Identifies a caller's request.
   pub request_id: &'static str,
-  /// Milliseconds the caller will wait.
+  /// Time for which the caller will wait, ms.
   pub deadline_ms: &'static str,
   /// Model, with an adapter after a slash.
   pub model: &'static str,
   /// Parts of the prompt, `ID:TOKENS` separated by commas.
   pub prompt_parts: &'static str,
-  /// Tokens of the prompt and the most that come out, `IN,OUT`.
+  /// Tokens of the prompt and maximum tokens of the output, `IN,OUT`.
   pub token_usage: &'static str,
-  /// The customer, for backend servers.
+  /// The customer; sent to backend servers.
   pub customer: &'static str,
-  /// Proves that an answer is a backend server's.
+  /// Proves that a response comes from a backend server.
   pub signature: &'static str,
-  /// The server that is meant; another one declines.
+  /// The server that the request is meant for; any other server declines it.
   pub expected_server: &'static str,
-  /// The server that answers.
+  /// The server that sent the response.
   pub server: &'static str,
   /// Present when the server did not run the request and will not.
   pub not_run: &'static str,
-  /// Requests a second that the server takes from all instances together, in the answers of one
-  /// in need.
+  /// Requests per second that an overloaded server accepts from all instances together; part of its
+  /// responses.
   pub limit: &'static str,
-  /// `1` in all answers of a server that leaves.
+  /// `1` in all responses of a server that is leaving and accepts no new requests.
   pub leaving: &'static str,
-  /// 0 is the most urgent.
+  /// Priority of the request; 0 is the most urgent.
   pub priority: &'static str,
   /// Headers that only this system may set.
   pub reserved: &'static [&'static str],
 }
 
 impl Dialect {
-  /// The product's own names.
+  /// The default names of this product.
   pub const DEFAULT: Self = Self {
     request_id: "x-request-id",
     deadline_ms: "x-deadline-ms",
--- a/src/health.rs
+++ b/src/health.rs
@@ -1,4 +1,4 @@
-//! The health port: whether an instance takes requests, and its metrics.
+//! Health port: readiness of an instance, its metrics, and the state of its customers.
 
 use crate::{
   http::Request,
@@ -15,12 +15,12 @@
   time::Duration,
 };
 
-/// Time for a question to arrive and for its answer to be taken.
-const CALL: Duration = Duration::from_secs(2);
-/// Bytes of a question.
-const QUESTION: usize = 4 << 10;
-/// Stack of a connection's thread, bytes.
-const STACK: usize = 64 << 10;
+/// Timeout of each read and write on a connection.
+const IO_TIMEOUT: Duration = Duration::from_secs(2);
+/// Maximum size of a request's head.
+const MAX_HEAD_BYTES: usize = 4 << 10;
+/// Stack size of a connection's thread.
+const STACK_BYTES: usize = 64 << 10;
 
 /// Binds the health port.
 pub fn bind(hub: &Arc<Hub>, address: &str) -> io::Result<SocketAddr> {
@@ -30,7 +30,7 @@
   let builder = thread::Builder::new().name("health".into());
   builder.spawn(move || {
     loop {
-      // An accept that fails is answered by the next question.
+      // A failed accept needs no handling, since health checks are repeated.
       let Ok((stream, _)) = listener.accept() else {
         thread::sleep(Duration::from_millis(10));
         continue;
@@ -38,20 +38,20 @@
       let hub = hub.clone();
       let builder = thread::Builder::new()
         .name("question".into())
-        .stack_size(STACK);
-      // Without a thread the question stays unanswered: not ready.
-      let _ = builder.spawn(move || answer(&hub, stream));
+        .stack_size(STACK_BYTES);
+      // Without a thread, the request gets no response, so the instance counts as not ready.
+      let _ = builder.spawn(move || serve(&hub, stream));
     }
   })?;
   Ok(address)
 }
 
-/// Answers questions on one connection until it rests for too long.
-fn answer(hub: &Hub, mut stream: TcpStream) {
-  let bounded = stream
-    .set_read_timeout(Some(CALL))
-    .and_then(|()| stream.set_write_timeout(Some(CALL)));
-  if bounded.is_err() {
+/// Serves requests on a connection until it is idle for too long.
+fn serve(hub: &Hub, mut stream: TcpStream) {
+  let configured = stream
+    .set_read_timeout(Some(IO_TIMEOUT))
+    .and_then(|()| stream.set_write_timeout(Some(IO_TIMEOUT)));
+  if configured.is_err() {
     return;
   }
   let mut input = Vec::new();
@@ -60,16 +60,16 @@
     match Request::parse(&input) {
       Ok(Some((head, length))) => {
         input.drain(..length);
-        let (status, body) = page(hub, head.path());
+        let (status, body) = render(hub, head.path());
         let length = body.len();
-        let answer = format!(
+        let response = format!(
           "HTTP/1.1 {status} Health\r\nContent-Type: text/plain\r\nContent-Length: {length}\r\n\r\n{body}"
         );
-        if stream.write_all(answer.as_bytes()).is_err() || !head.keep_alive() {
+        if stream.write_all(response.as_bytes()).is_err() || !head.keep_alive() {
           return;
         }
       }
-      Ok(None) if input.len() < QUESTION => match stream.read(&mut bytes) {
+      Ok(None) if input.len() < MAX_HEAD_BYTES => match stream.read(&mut bytes) {
         Ok(length) if length > 0 => input.extend_from_slice(&bytes[..length]),
         _ => return,
       },
@@ -78,13 +78,13 @@
   }
 }
 
-/// What is known of customers and their quotas, JSON; no key is among it.
+/// Returns what is known of customers and their quotas, as JSON without any API keys.
 fn customers(hub: &Hub) -> String {
   let now = hub.now();
   let state = hub.state();
-  let book = state.deployment.as_ref();
-  let book = book.and_then(|deployment| deployment.customers.clone());
-  let customers = book.iter().flat_map(|book| book.all());
+  let list = state.deployment.as_ref();
+  let list = list.and_then(|deployment| deployment.customers.clone());
+  let customers = list.iter().flat_map(|list| list.all());
   let customers = customers.map(|customer| {
     let (used, left) = state.purse().standing(now, Id::of(&customer.name));
     json!({
@@ -95,9 +95,9 @@
   });
   let customers: Vec<Value> = customers.collect();
   let standings = lock(&hub.standings);
-  let fleet = standings.iter().map(|one| {
-    json!({ "name": one.name, "used": one.over_fleet.used,
-      "granted": one.over_fleet.ahead, "rate": one.over_fleet.rate })
+  let fleet = standings.iter().map(|standing| {
+    json!({ "name": standing.name, "used": standing.over_fleet.used,
+      "granted": standing.over_fleet.ahead, "rate": standing.over_fleet.rate })
   });
   let fleet: Vec<Value> = fleet.collect();
   let keys_age = hub.gates.deployments.sure_age();
@@ -109,7 +109,7 @@
   .to_string()
 }
 
-fn page(hub: &Hub, path: &str) -> (u16, String) {
+fn render(hub: &Hub, path: &str) -> (u16, String) {
   if path.ends_with("/metrics") {
     return match hub.measures.text() {
       Ok(text) => (200, text),
--- a/src/refusal.rs
+++ b/src/refusal.rs
@@ -1,4 +1,4 @@
-//! A final answer to a caller whose request was not served.
+//! Refusals: final responses to callers whose requests were not served.
 
 use crate::verdict::Verdict;
 use serde::{Deserialize, Serialize};
@@ -12,29 +12,29 @@
   TooLate,
   Stopping,
   NoServer,
-  /// The model is being loaded for callers that come back.
+  /// The model is being loaded for callers that retry.
   Loading,
   PlatformUnavailable,
   ServerFailed,
   Claimed,
   ClaimsFull,
   CallerGone,
-  /// It crashes the servers that run it.
+  /// The request crashes the servers that run it.
   Quarantined,
-  /// It names no key that counts.
+  /// The request has no valid key.
   KeyUnknown,
-  /// Whether its key still counts is not known here.
+  /// This instance does not know whether the key of the request is still valid.
   KeysUnsure,
-  /// Its customer is beyond its quota.
+  /// The customer has exceeded its quota.
   QuotaExceeded,
-  /// The servers that could run it are in need, and their limits are reached.
+  /// The servers that could run the request are overloaded, and their limits are reached.
   ServerLimit,
-  /// The servers that could run it want rest.
+  /// The servers that could run the request have requested a backoff.
   ServerRest,
 }
 
 impl Reason {
-  /// The word sent to callers and used as a metric label.
+  /// Returns the name that is sent to callers and used as a metric label.
   pub fn as_str(self) -> &'static str {
     match self {
       Self::UnknownModel => "unknown-model",
@@ -57,7 +57,7 @@
     }
   }
 
-  /// HTTP status for the reason.
+  /// Returns the HTTP status for the reason.
   pub fn status(self) -> u16 {
     match self {
       Self::UnknownModel => 404,
@@ -70,11 +70,11 @@
   }
 }
 
-/// A refusal with its verdict and when to come back.
+/// A refusal with its verdict and retry delay.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Refusal {
   pub reason: Reason,
   pub verdict: Verdict,
-  /// Milliseconds after which a repeat may be served; `None`: do not repeat.
+  /// Time after which a retry may be served, ms; `None` if the request should not be retried.
   pub retry_after: Option<u64>,
 }
--- a/src/reply.rs
+++ b/src/reply.rs
@@ -1,4 +1,4 @@
-//! Answers to callers.
+//! Responses to callers.
 
 use crate::{
   batch::Item,
@@ -11,18 +11,18 @@
 
 const JSON: (&str, &str) = ("content-type", "application/json");
 
-/// Answers with JSON.
+/// Responds with JSON.
 pub fn json(request: &mut Request, status: u16, body: &Value) {
   request.respond(status, &[JSON], body.to_string().as_bytes());
 }
 
-/// Answers that the request itself is at fault.
+/// Responds that the request is invalid; `code` is the type of the error.
 pub fn error(request: &mut Request, status: u16, code: &str, text: &str) {
   let body = json!({ "error": { "type": code, "message": text, "verdict": "not-run" } });
   json(request, status, &body);
 }
 
-/// The body of a refusal.
+/// Returns the body of a refusal.
 pub fn refusal_body(refusal: Refusal) -> Value {
   json!({ "error": {
     "type": "refused",
@@ -33,18 +33,18 @@
   } })
 }
 
-/// Answers with a refusal.
+/// Responds with a refusal.
 pub fn refuse(request: &mut Request, refusal: Refusal) {
   let body = refusal_body(refusal).to_string();
-  let after = refusal.retry_after.map(|ms| ms.div_ceil(1_000).to_string());
+  let retry_after = refusal.retry_after.map(|ms| ms.div_ceil(1_000).to_string());
   let mut headers = vec![JSON];
-  if let Some(after) = &after {
-    headers.push(("retry-after", after));
+  if let Some(retry_after) = &retry_after {
+    headers.push(("retry-after", retry_after));
   }
   request.respond(refusal.reason.status(), &headers, body.as_bytes());
 }
 
-/// Answers with the recorded answer of an earlier call.
+/// Responds with the recorded response of an earlier call. `body` is `None` if it was not kept.
 pub fn replay(request: &mut Request, status: u16, body: Option<String>) {
   match body {
     Some(body) => {
@@ -58,18 +58,18 @@
   }
 }
 
-/// A plain service's answer.
+/// A complete response of a plain service.
 pub struct Answer {
   pub status: u16,
-  content: String,
+  content_type: String,
   body: Vec<u8>,
 }
 
 impl Answer {
-  /// Reads a whole answer; none when it breaks off or is too large.
+  /// Reads a complete response; `None` if it is cut off or larger than `limit` bytes.
   pub fn read(response: ureq::http::Response<Body>, limit: usize) -> Option<Self> {
     let status = response.status().as_u16();
-    let content = response
+    let content_type = response
       .headers()
       .get("content-type")
       .and_then(|value| value.to_str().ok())
@@ -80,117 +80,117 @@
     reader.read_to_end(&mut body).ok()?;
     (body.len() <= limit).then_some(Self {
       status,
-      content,
+      content_type,
       body,
     })
   }
 
-  /// The body, where it is text.
+  /// Returns the body; `None` if it is not UTF-8.
   pub fn text(&self) -> Option<String> {
     String::from_utf8(self.body.clone()).ok()
   }
 }
 
-/// Passes a plain service's answer on.
-pub fn raw(request: &mut Request, answer: &Answer) {
-  let headers = [("content-type", answer.content.as_str())];
+/// Forwards a plain service's response.
+pub fn forward(request: &mut Request, answer: &Answer) {
+  let headers = [("content-type", answer.content_type.as_str())];
   request.respond(answer.status, &headers, &answer.body);
 }
 
 enum Output<'a> {
-  /// No byte has been sent.
-  Untouched(&'a mut Request),
+  /// Nothing has been sent.
+  Unsent(&'a mut Request),
   /// The head of a stream has been sent.
   Stream(&'a mut Request, Writer),
-  /// Kept here, for a batch.
-  Gather,
-  /// Ended.
+  /// The text is kept for an item of a batch.
+  Buffered,
+  /// The response has ended.
   Closed,
 }
 
-/// The answer to a completion.
+/// The response to a completion.
 pub struct Reply<'a> {
   output: Output<'a>,
   id: String,
   model: String,
   chat: bool,
-  streams: bool,
+  stream: bool,
   text: String,
   tokens: usize,
   refusal: Option<Refusal>,
 }
 
 impl<'a> Reply<'a> {
-  /// An answer to a caller.
-  pub fn open(request: &'a mut Request, id: &str, model: &str, chat: bool, streams: bool) -> Self {
+  /// Creates a response to a caller.
+  pub fn open(request: &'a mut Request, id: &str, model: &str, chat: bool, stream: bool) -> Self {
     Self {
-      output: Output::Untouched(request),
+      output: Output::Unsent(request),
       id: id.into(),
       model: model.into(),
       chat,
-      streams,
+      stream,
       text: String::new(),
       tokens: 0,
       refusal: None,
     }
   }
 
-  /// An answer that is kept.
-  pub fn gather() -> Self {
+  /// Creates a response that is kept for an item of a batch.
+  pub fn buffered() -> Self {
     Self {
-      output: Output::Gather,
+      output: Output::Buffered,
       id: String::new(),
       model: String::new(),
       chat: false,
-      streams: false,
+      stream: false,
       text: String::new(),
       tokens: 0,
       refusal: None,
     }
   }
 
-  /// Takes a token; false when the caller is gone.
-  pub fn token(&mut self, text: &str) -> bool {
+  /// Adds a token; returns false if the caller has disconnected.
+  pub fn push_token(&mut self, text: &str) -> bool {
     self.tokens += 1;
     self.text.push_str(text);
-    if !self.streams {
+    if !self.stream {
       return true;
     }
-    self.begin();
+    self.start_stream();
     let event = format!("data: {}\n\n", self.chunk(text));
-    self.write(&event)
+    self.write_event(&event)
   }
 
-  /// Whether the caller has gone; found without sending anything.
-  pub fn gone(&self) -> bool {
+  /// Returns whether the caller has disconnected, without sending anything.
+  pub fn is_disconnected(&self) -> bool {
     match &self.output {
-      Output::Untouched(request) => request.is_disconnected(),
+      Output::Unsent(request) => request.is_disconnected(),
       Output::Stream(request, _) => request.is_disconnected(),
-      Output::Gather | Output::Closed => false,
+      Output::Buffered | Output::Closed => false,
     }
   }
 
-  fn begin(&mut self) {
-    if !matches!(self.output, Output::Untouched(_)) {
+  fn start_stream(&mut self) {
+    if !matches!(self.output, Output::Unsent(_)) {
       return;
     }
-    let Output::Untouched(request) = std::mem::replace(&mut self.output, Output::Closed) else {
+    let Output::Unsent(request) = std::mem::replace(&mut self.output, Output::Closed) else {
       return;
     };
     let headers = [
       ("content-type", "text/event-stream"),
       ("cache-control", "no-cache"),
     ];
-    if let Ok(parts) = request.stream(&headers) {
-      self.output = Output::Stream(request, parts);
+    if let Ok(writer) = request.stream(&headers) {
+      self.output = Output::Stream(request, writer);
     }
   }
 
-  fn write(&mut self, event: &str) -> bool {
-    let Output::Stream(request, parts) = &mut self.output else {
+  fn write_event(&mut self, event: &str) -> bool {
+    let Output::Stream(request, writer) = &mut self.output else {
       return false;
     };
-    let written = parts.send(event).is_ok();
+    let written = writer.send(event).is_ok();
     if !written {
       request.close();
     }
@@ -206,15 +206,15 @@
     }
   }
 
-  /// Ends a whole answer.
+  /// Ends a complete response.
   pub fn finish(&mut self) {
-    if self.streams {
-      self.begin();
-      self.write("data: [DONE]\n\n");
+    if self.stream {
+      self.start_stream();
+      self.write_event("data: [DONE]\n\n");
       self.output = Output::Closed;
       return;
     }
-    if let Output::Untouched(request) = std::mem::replace(&mut self.output, Output::Closed) {
+    if let Output::Unsent(request) = std::mem::replace(&mut self.output, Output::Closed) {
       let choice = match self.chat {
         true => json!({ "index": 0, "finish_reason": "stop",
           "message": { "role": "assistant", "content": self.text } }),
@@ -231,22 +231,22 @@
     }
   }
 
-  /// Ends with a refusal; a stream that has begun says so as an event.
+  /// Ends the response with a refusal; a started stream sends it as an event.
   pub fn refuse(&mut self, refusal: Refusal) {
     self.refusal = Some(refusal);
     match std::mem::replace(&mut self.output, Output::Closed) {
-      Output::Untouched(request) => refuse(request, refusal),
-      Output::Stream(request, parts) => {
-        self.output = Output::Stream(request, parts);
-        self.write(&format!("data: {}\n\n", refusal_body(refusal)));
+      Output::Unsent(request) => refuse(request, refusal),
+      Output::Stream(request, writer) => {
+        self.output = Output::Stream(request, writer);
+        self.write_event(&format!("data: {}\n\n", refusal_body(refusal)));
         self.output = Output::Closed;
       }
-      Output::Gather | Output::Closed => {}
+      Output::Buffered | Output::Closed => {}
     }
   }
 
-  /// What became of a batch's item.
-  pub fn item(self) -> Item {
+  /// Returns the result of an item of a batch.
+  pub fn into_item(self) -> Item {
     match self.refusal {
       None => Item::Done { text: self.text },
       Some(Refusal {
@@ -255,7 +255,7 @@
       }) => Item::Refused {
         reason: reason.as_str().into(),
       },
-      // A completion may run again, so no verdict ends an item.
+      // A completion may run again, so the item stays waiting regardless of the verdict.
       Some(_) => Item::Waiting,
     }
   }
--- a/src/request.rs
+++ b/src/request.rs
@@ -1,4 +1,4 @@
-//! A caller's request, as the reducer sees it.
+//! Requests of callers, as the reducer sees them.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,7 +6,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Ticket(pub u64);
 
-/// How urgent a request is; interactive requests go first.
+/// Priority of a request; interactive requests are dispatched first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Class {
@@ -14,28 +14,28 @@
   Batch,
 }
 
-/// What is asked for.
+/// The work of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Work {
-  /// A completion by a model or adapter; may be repeated and resumed.
+  /// A completion by a model or adapter; may be retried and resumed.
   Model { model: String },
   /// A call to a plain service.
   Service {
     service: String,
-    /// Whether it may run more than once.
+    /// Whether the call may run more than once.
     repeatable: bool,
-    /// Hash of the idempotency key, for a call that may not be repeated.
+    /// Hash of the idempotency key, for a call that may not run more than once.
     key: Option<u64>,
   },
 }
 
-/// A request waiting for its dispatch.
+/// Describes a request that is to be dispatched.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Descriptor {
   pub ticket: Ticket,
   pub work: Work,
   pub class: Class,
-  /// Time by which the first byte must be on its way, ms.
+  /// Time by which the first byte of the response must be sent, ms.
   pub deadline: u64,
   /// Hash of the caller's identity.
   pub caller: u64,
--- a/src/services.rs
+++ b/src/services.rs
@@ -14,18 +14,18 @@
 use std::time::Duration;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Carries a plain service's call.
+/// Serves a call to a plain service.
 pub fn serve(shared: &Shared, request: &mut Request, service: &str, path: &str) {
-  let terms = match parse_options(shared, request, None) {
-    Ok(terms) => terms,
+  let options = match parse_options(shared, request, None) {
+    Ok(options) => options,
     Err(text) => return reply::error(request, 400, "invalid_request", &text),
   };
-  let repeatable = request.method == "GET" || repeatable(shared, service, path);
+  let repeatable = request.method == "GET" || is_repeatable(shared, service, path);
   let key = request
     .header("idempotency-key")
     .map(|key| xxh3_64(format!("{service}{path}\n{key}").as_bytes()))
     .filter(|_| !repeatable);
-  let content = request
+  let content_type = request
     .header("content-type")
     .unwrap_or("application/octet-stream")
     .to_string();
@@ -37,17 +37,17 @@
       repeatable,
       key,
     },
-    class: terms.class,
-    deadline: terms.deadline,
-    caller: terms.caller,
+    class: options.class,
+    deadline: options.deadline,
+    caller: options.caller,
   }));
   let id = format!("{}/{}/{}", shared.settings.instance, shared.boot, ticket.0);
   loop {
-    match next_directive(shared, &directives, terms.deadline) {
+    match next_directive(shared, &directives, options.deadline) {
       Some(Directive::Send(attempt)) => {
-        let outgoing = outgoing(request, &attempt, path, &content, &id);
+        let outgoing = build_request(request, &attempt, path, &content_type, &id);
         if let Some(answer) = call_once(shared, &attempt, outgoing) {
-          reply::raw(request, &answer);
+          reply::forward(request, &answer);
           break;
         }
       }
@@ -68,27 +68,27 @@
   shared.close_ticket(ticket);
 }
 
-fn repeatable(shared: &Shared, service: &str, path: &str) -> bool {
+fn is_repeatable(shared: &Shared, service: &str, path: &str) -> bool {
   let (service, path) = (service.to_string(), path.to_string());
-  let known = shared.look(move |state| {
+  let repeatable = shared.look(move |state| {
     let service = state.catalog.services.get(&service);
     service.is_some_and(|service| service.repeatable.contains(&path))
   });
-  // Without an answer the call counts as one that may not be repeated.
-  known.unwrap_or(false)
+  // If the reducer does not respond, the call is treated as one that may not be repeated.
+  repeatable.unwrap_or(false)
 }
 
-fn outgoing(
+fn build_request(
   request: &Request,
   attempt: &Attempt,
   path: &str,
-  content: &str,
+  content_type: &str,
   id: &str,
 ) -> Result<ureq::http::Request<Vec<u8>>, call::Failure> {
   ureq::http::Request::builder()
     .method(request.method.as_str())
     .uri(format!("http://{}{path}", attempt.address))
-    .header("content-type", content)
+    .header("content-type", content_type)
     .header("x-request", id)
     .body(request.body.clone())
     .map_err(|error| call::Failure {
@@ -97,19 +97,19 @@
     })
 }
 
-/// Makes a service's call; none when the reducer is to say how it goes on.
+/// Makes one attempt at a call; `None` if it failed and the reducer decides how to continue.
 fn call_once(
   shared: &Shared,
   attempt: &Attempt,
   request: Result<ureq::http::Request<Vec<u8>>, call::Failure>,
 ) -> Option<reply::Answer> {
-  let stall = Duration::from_millis(shared.settings.limits.token_stall_ms);
-  let waits = Timeouts {
+  let stall_timeout = Duration::from_millis(shared.settings.limits.token_stall_ms);
+  let timeouts = Timeouts {
     connect: Duration::from_millis(shared.settings.limits.connect_ms),
-    response: stall,
-    read: stall,
+    response: stall_timeout,
+    read: stall_timeout,
   };
-  let response = match request.and_then(|request| call::send(request, waits)) {
+  let response = match request.and_then(|request| call::send(request, timeouts)) {
     Ok(response) => response,
     Err(failure) => {
       ended(shared, attempt, End::Broken(failure.verdict), None);
@@ -118,8 +118,8 @@
   };
   match reply::Answer::read(response, shared.settings.limits.body_bytes) {
     Some(answer) => {
-      let kept = (answer.status, answer.text());
-      ended(shared, attempt, End::Whole, Some(kept));
+      let recorded = (answer.status, answer.text());
+      ended(shared, attempt, End::Whole, Some(recorded));
       Some(answer)
     }
     None => {
--- a/src/verdict.rs
+++ b/src/verdict.rs
@@ -1,4 +1,4 @@
-//! What is known of a request that was not answered whole.
+//! Verdicts on requests that did not get a complete response.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,14 +6,14 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Verdict {
-  /// No backend server has begun the request, and none will.
+  /// No backend server has started the request, and none will.
   NotRun,
-  /// A backend server may have run the request, in part or whole.
+  /// A backend server may have run the request, partially or completely.
   MayHaveRun,
 }
 
 impl Verdict {
-  /// The word sent to callers and used as a metric label.
+  /// Returns the name that is sent to callers and used as a metric label.
   pub fn as_str(self) -> &'static str {
     match self {
       Self::NotRun => "not-run",
@@ -21,7 +21,7 @@
     }
   }
 
-  /// The verdict on a sequence of attempts.
+  /// Combines the verdicts of two attempts to serve a request.
   pub fn and(self, other: Self) -> Self {
     if self == Self::NotRun { other } else { self }
   }
