--- a/src/completions.rs
+++ b/src/completions.rs
@@ -20,7 +20,7 @@
 /// Interval for checking whether a waiting caller is still connected.
 const DISCONNECT_CHECK_INTERVAL: Duration = Duration::from_millis(250);
 /// Maximum number of tokens for a completion that does not set one.
-pub const MAX_TOKENS: u32 = 256;
+pub const DEFAULT_MAX_TOKENS: u32 = 256;
 
 /// Body of a completion or chat request.
 #[derive(Deserialize)]
@@ -85,7 +85,7 @@
   };
   let id = format!("{}-{}-{}", shared.settings.instance, shared.boot, ticket.0);
   let mut reply = Reply::open(request, &id, &body.model, chat, body.stream);
-  let max_tokens = body.max_tokens.unwrap_or(MAX_TOKENS);
+  let max_tokens = body.max_tokens.unwrap_or(DEFAULT_MAX_TOKENS);
   run(
     shared,
     descriptor,
--- a/src/submissions.rs
+++ b/src/submissions.rs
@@ -3,7 +3,7 @@
 use crate::{
   batch::{BATCH_LIMIT, Batch, Change, Item},
   callers::{MAX_DEADLINE_MS, next_directive, parse_options},
-  completions::MAX_TOKENS,
+  completions::DEFAULT_MAX_TOKENS,
   event::Event,
   refusal::{Reason, Refusal},
   reply,
@@ -42,7 +42,7 @@
     model: body.model,
     deadline: shared.now() + body.completion_window_ms,
     caller: terms.caller,
-    max_tokens: body.max_tokens.unwrap_or(MAX_TOKENS),
+    max_tokens: body.max_tokens.unwrap_or(DEFAULT_MAX_TOKENS),
     items: vec![Item::Waiting; body.prompts.len()],
     prompts: body.prompts,
   };
