--- a/src/cold.rs
+++ b/src/cold.rs
@@ -7,7 +7,7 @@
 use crate::{
   backend::Backend,
   demand::{Demand, Model},
-  dispatch::{Ask, Request, State},
+  dispatch::{Descriptor, Request, State},
   life::Life,
   placement::models::Size,
   placement::urgency::Wait,
@@ -59,12 +59,12 @@
 /// Returns when a waiting request is given up, in ms: before its caller leaves. Callers count
 /// from the last event if any has arrived.
 pub(crate) fn give_up_at(request: &Request) -> u64 {
-  let descriptor = &request.ask;
-  let since = match request.began {
-    true => request.broke,
+  let descriptor = &request.descriptor;
+  let since = match request.response_started {
+    true => request.failed_at,
     false => request.arrived,
   };
-  let patience = descriptor.until.saturating_sub(since);
+  let patience = descriptor.deadline.saturating_sub(since);
   let route = &descriptor.route;
   let stream_patience = route.stream.map_or(u64::MAX, |stream| {
     STREAM_PATIENCE_MS
@@ -77,7 +77,7 @@
 /// Returns how much time a waiting request has left.
 fn remaining_time(request: &Request, now: u64) -> Wait {
   let remaining_ms = |until: u64| (until.saturating_sub(now) / TIME_STEP_MS * TIME_STEP_MS) as u32;
-  let objective_ms = request.ask.route.objective_ms;
+  let objective_ms = request.descriptor.route.objective_ms;
   Wait {
     requests: 1,
     objective_ms: remaining_ms(request.arrived + objective_ms),
@@ -89,8 +89,8 @@
   /// Returns after how long the caller of a request without a server should retry, or `None` if
   /// the request waits.
   pub(crate) fn retry_after_ms(&self, request: &Request) -> Option<u64> {
-    let model = request.ask.model.as_ref()?;
-    if request.verdict != Verdict::NotRun || self.is_held(&request.ask.pool, &model.name) {
+    let model = request.descriptor.model.as_ref()?;
+    if request.verdict != Verdict::NotRun || self.is_held(&request.descriptor.pool, &model.name) {
       return None;
     }
     let ready = self.ready_at(request, |_| true)?;
@@ -99,7 +99,7 @@
 
   /// Returns whether a server that accepts work holds a model.
   fn is_held(&self, pool: &str, model: &str) -> bool {
-    let until = self.current_until();
+    let until = self.holdings_valid_until();
     let holds = |backend: &&Backend| backend.holds(model, None, until, self.now);
     self.accepting_backends(pool).any(|backend| holds(&backend))
   }
@@ -112,7 +112,7 @@
   /// Returns when a request's model is expected to be ready on one of the eligible servers, which
   /// do not hold it yet, in ms.
   fn ready_at(&self, request: &Request, is_eligible: impl Fn(&&Backend) -> bool) -> Option<u64> {
-    let descriptor = &request.ask;
+    let descriptor = &request.descriptor;
     let model = descriptor.model.as_ref()?;
     let engine = self.engine(&descriptor.pool)?;
     let checkpoint = engine.models.get(&model.name)?;
@@ -131,7 +131,7 @@
           .filter(&is_eligible)
           .map(|backend| backend.spec.tier(&model.name));
         let load = Size::of(checkpoint).load_ms(tiers.min()?);
-        let no_planner = self.now > self.current_until();
+        let no_planner = self.now > self.holdings_valid_until();
         let takeover = if no_planner { TAKEOVER_MS } else { 0 };
         self.demand_since(request, model) + takeover + LOAD_DECISION_MS + LOAD_START_MS + load
       }
@@ -142,9 +142,9 @@
   /// Returns when a model is expected to be ready on a server that has announced no limit and
   /// does not hold it yet, in ms, or `None` if there is no such server.
   pub(crate) fn ready_elsewhere(&self, request: &Request) -> Option<u64> {
-    let descriptor = &request.ask;
+    let descriptor = &request.descriptor;
     let model = descriptor.model.as_ref()?;
-    let until = self.current_until();
+    let until = self.holdings_valid_until();
     let is_eligible = |backend: &&Backend| {
       !self.in_need(backend)
         && !self.rests(backend)
@@ -155,7 +155,9 @@
 
   /// Returns when this instance first reported demand for a request's model, in ms.
   fn demand_since(&self, request: &Request, model: &Model) -> u64 {
-    let deferral = self.wants.get(&(request.ask.pool.clone(), model.clone()));
+    let deferral = self
+      .deferrals
+      .get(&(request.descriptor.pool.clone(), model.clone()));
     let deferral = deferral.filter(|deferral| self.now < deferral.until);
     deferral.map_or(request.arrived, |deferral| {
       deferral.since.min(request.arrived)
@@ -163,14 +165,14 @@
   }
 
   /// Records the demand of a caller that is refused while its model is loaded.
-  pub(crate) fn add_deferral(&mut self, descriptor: &Ask, retry_after: u64) {
+  pub(crate) fn add_deferral(&mut self, descriptor: &Descriptor, retry_after: u64) {
     let Some(model) = descriptor.model.clone() else {
       return;
     };
     let now = self.now;
-    self.wants.retain(|_, deferral| now < deferral.until);
+    self.deferrals.retain(|_, deferral| now < deferral.until);
     let deferral = self
-      .wants
+      .deferrals
       .entry((descriptor.pool.clone(), model))
       .or_insert(Deferral {
         since: now,
@@ -190,7 +192,7 @@
     demand: &mut BTreeMap<(String, Model), Demand>,
   ) {
     for ((pool, model), deferral) in self
-      .wants
+      .deferrals
       .iter()
       .filter(|(_, deferral)| now < deferral.until)
     {
@@ -231,14 +233,14 @@
       let Some(request) = self.requests.get(ticket) else {
         continue;
       };
-      let Some(model) = &request.ask.model else {
+      let Some(model) = &request.descriptor.model else {
         continue;
       };
-      let key = (request.ask.pool.clone(), model.clone());
+      let key = (request.descriptor.pool.clone(), model.clone());
       let age_ms = now.saturating_sub(request.arrived);
       let entry = demand.entry(key).or_insert_with(|| Demand {
         priority: *priority,
-        ..Demand::ahead(&request.ask.pool, model.clone())
+        ..Demand::ahead(&request.descriptor.pool, model.clone())
       });
       entry.add(remaining_time(request, now));
       entry.priority = entry.priority.min(*priority);
--- a/src/contact.rs
+++ b/src/contact.rs
@@ -25,12 +25,12 @@
 
 /// The longest time in which the store answered nobody, beside some failed calls.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Silence {
+pub struct Outage {
   pub length: Duration,
   /// Since somebody was answered again.
-  pub over: Duration,
+  pub since_recovery: Duration,
   /// Since this instance began the last call that failed before it.
-  pub failed: Duration,
+  pub since_failure: Duration,
 }
 
 #[derive(Debug, Default)]
@@ -46,7 +46,7 @@
 
 /// What is known of the store's answers.
 #[derive(Debug, Default)]
-pub struct Contact {
+pub struct Reachability {
   state: Mutex<State>,
   changed: Condvar,
 }
@@ -89,27 +89,27 @@
     }
   }
 
-  fn silence(&self, gap: Gap) -> Silence {
+  fn silence(&self, gap: Gap) -> Outage {
     let failed = |began: &&Moment| **began <= gap.to;
     let last = self.failures.iter().filter(failed).max();
     let last = last.copied().unwrap_or(gap.from);
     let within = self.failures.iter().filter(failed);
     let within = within.filter(|began| **began >= gap.from).count();
-    Silence {
+    Outage {
       // A single call may be lost on its way, and says nothing of the time before it.
       length: match within {
         0 | 1 => gap.to - last.max(gap.from),
         _ => gap.to - gap.from,
       },
-      over: gap.to.elapsed(),
-      failed: last.elapsed(),
+      since_recovery: gap.to.elapsed(),
+      since_failure: last.elapsed(),
     }
   }
 }
 
-impl Contact {
+impl Reachability {
   /// The store has answered this instance, or the one whose progress it goes by.
-  pub fn reach(&self, at: Moment) {
+  pub fn record_response(&self, at: Moment) {
     let mut state = lock(&self.state);
     state.hear(at);
     state.reached = state.reached.max(Some(at));
@@ -117,12 +117,12 @@
   }
 
   /// The store has answered another instance.
-  pub fn hear(&self, at: Moment) {
+  pub fn record_peer_response(&self, at: Moment) {
     lock(&self.state).hear(at);
   }
 
   /// A call that this instance began at a moment has failed.
-  pub fn fail(&self, began: Moment) {
+  pub fn record_failure(&self, began: Moment) {
     let mut state = lock(&self.state);
     state.failures.push_back(began);
     if state.failures.len() > FAILURES {
@@ -136,12 +136,12 @@
   }
 
   /// Whether the store has answered since a moment.
-  pub fn reached_since(&self, moment: Moment) -> bool {
+  pub fn responded_since(&self, moment: Moment) -> bool {
     lock(&self.state).reached > Some(moment)
   }
 
   /// Waits for an answer after a moment, at most for a time.
-  pub fn wait(&self, moment: Moment, most: Duration) {
+  pub fn wait_for_response(&self, moment: Moment, most: Duration) {
     let state = lock(&self.state);
     let waits = |state: &mut State| state.reached <= Some(moment);
     // Both ends of the wait are the same to the caller, and no holder of the lock panics.
@@ -149,14 +149,14 @@
   }
 
   /// The longest time without an answer to anybody that had not ended before a moment.
-  pub fn silence(&self, since: Moment) -> Silence {
+  pub fn longest_outage(&self, since: Moment) -> Outage {
     let state = lock(&self.state);
     let gaps = state.gaps.iter().filter(|gap| gap.to >= since);
     let silences = gaps.map(|gap| state.silence(*gap));
     let longest = silences.max_by_key(|silence| silence.length);
-    longest.unwrap_or_else(|| Silence {
-      failed: since.elapsed(),
-      ..Silence::default()
+    longest.unwrap_or_else(|| Outage {
+      since_failure: since.elapsed(),
+      ..Outage::default()
     })
   }
 }
--- a/src/crash/permit.rs
+++ b/src/crash/permit.rs
@@ -65,7 +65,7 @@
   /// Acquires the permit of a suspect for one of its copies.
   pub(crate) fn acquire_permit(&mut self, ticket: Ticket, crashes: u32) -> Permit {
     let request = self.requests.get(&ticket);
-    let id = request.map(|request| id(request.ask.content, crashes));
+    let id = request.map(|request| id(request.descriptor.content, crashes));
     self.acquire(ticket, id.filter(|_| crashes as usize >= SUSPECT_CRASHES))
   }
 
@@ -77,7 +77,7 @@
     crashes: u32,
   ) -> Permit {
     // Without a quota holder permits are granted at random, and a copy rarely gets two of them.
-    let required = crashes as usize >= SUSPECT_CRASHES && self.purse.answers(self.now);
+    let required = crashes as usize >= SUSPECT_CRASHES && self.quotas.answers(self.now);
     self.acquire(ticket, required.then(|| server_permit_id(server)))
   }
 
@@ -87,29 +87,29 @@
     let (Some(id), Some(request)) = (id, self.requests.get_mut(&ticket)) else {
       return Permit::Granted;
     };
-    if request.leaves.contains(&id) {
+    if request.permits.contains(&id) {
       return Permit::Granted;
     }
-    let requested = request.wants.filter(|(pending, _)| *pending == id);
+    let requested = request.pending_unit.filter(|(pending, _)| *pending == id);
     let requested = requested.map(|(_, since)| since);
     match self
-      .purse
+      .quotas
       .spend(now, (id, &ALLOWANCE), 1, requested, self.instances)
     {
       Spending::Spent => {
-        request.leaves.push(id);
-        request.wants = None;
+        request.permits.push(id);
+        request.pending_unit = None;
         Permit::Granted
       }
       Spending::Ask(until) => {
         if requested.is_none() {
-          request.wants = Some((id, now));
-          self.out.push(Effect::Need);
+          request.pending_unit = Some((id, now));
+          self.out.push(Effect::RequestQuota);
         }
         Permit::Requested(until)
       }
       Spending::Over(_) => {
-        request.wants = None;
+        request.pending_unit = None;
         Permit::Taken
       }
     }
@@ -119,20 +119,20 @@
   /// anywhere (`None`). After a crash they are not released.
   pub(crate) fn release_permits(&mut self, ticket: Ticket, end: Option<End>) {
     let request = self.requests.get_mut(&ticket);
-    let permits = request.map(|request| std::mem::take(&mut request.leaves));
+    let permits = request.map(|request| std::mem::take(&mut request.permits));
     let permits = permits.unwrap_or_default();
     if end == Some(End::Crashed) || permits.is_empty() {
       return;
     }
     for id in permits {
-      self.purse.give_back(id, 1);
+      self.quotas.give_back(id, 1);
     }
-    self.freed = true;
-    self.out.push(Effect::Need);
+    self.permits_released = true;
+    self.out.push(Effect::RequestQuota);
   }
 
   /// Returns whether permits that other copies wait for were released since the last call.
   pub fn take_permits_released(&mut self) -> bool {
-    std::mem::take(&mut self.freed)
+    std::mem::take(&mut self.permits_released)
   }
 }
--- a/src/deployment.rs
+++ b/src/deployment.rs
@@ -47,9 +47,9 @@
   pub head_bytes: usize,
   pub body_bytes: usize,
   /// From a request's first byte to the end of its head.
-  pub head_time: Duration,
+  pub head_timeout: Duration,
   /// Between two requests of a connection.
-  pub idle_time: Duration,
+  pub idle_timeout: Duration,
 }
 
 impl Default for Bounds {
@@ -58,8 +58,8 @@
     Self {
       head_bytes: 16 << 10,
       body_bytes: 4 << 20,
-      head_time: Duration::from_secs(3),
-      idle_time: Duration::from_secs(15),
+      head_timeout: Duration::from_secs(3),
+      idle_timeout: Duration::from_secs(15),
     }
   }
 }
--- a/src/dispatch.rs
+++ b/src/dispatch.rs
@@ -8,7 +8,7 @@
 mod ending;
 mod event;
 
-pub use event::{Ask, Attempt, Change, Effect, End, Event};
+pub use event::{Attempt, Change, Descriptor, Effect, End, Event};
 
 use crate::{
   backend::{self, Backend, Holding},
@@ -17,13 +17,13 @@
   customer::Turns,
   demand::Model,
   deployment::{Deployment, Engine},
-  lapse::Lapses,
+  lapse::Expiry,
   limit::{Choice, Limits},
   quota::{self, Allowance, Purse, Spending, Use},
   refusal::{Reason, Refusal},
   request::Ticket,
   retry::{Bound, Budget},
-  returned::Returned,
+  returned::Restored,
   statement::{Leaving, Rests},
   strain::Totals,
   verdict::Verdict,
@@ -36,7 +36,7 @@
 };
 
 /// Pause before a waiting request is looked at again without a change, ms.
-pub(crate) const LOOK_MS: u64 = 100;
+pub(crate) const RECHECK_MS: u64 = 100;
 /// Sends beyond a route's attempts, for sends that were declined.
 const DECLINED_MOST: u32 = 4;
 /// Time for which published holdings count, ms: the planner publishes every half
@@ -52,24 +52,24 @@
 /// A request between arrival and its final answer.
 #[derive(Clone, Debug)]
 pub struct Request {
-  pub ask: Ask,
+  pub descriptor: Descriptor,
   pub sends: u32,
   /// Sends that may have run.
   pub runs: u32,
-  pub at: Option<backend::Key>,
+  pub backend: Option<backend::Key>,
   pub tried: Vec<backend::Key>,
   pub verdict: Verdict,
   pub arrived: u64,
   /// It waits for a server since then, ms.
-  pub waiting: Option<u64>,
+  pub waiting_since: Option<u64>,
   /// When it was last sent, ms.
   pub(crate) sent: u64,
   /// Something of an answer has come.
-  pub(crate) began: bool,
+  pub(crate) response_started: bool,
   /// When the send under way brought its first event, ms.
-  pub(crate) answering: Option<u64>,
+  pub(crate) first_event_at: Option<u64>,
   /// When a run of it last ended without an answer, ms.
-  pub(crate) broke: u64,
+  pub(crate) failed_at: u64,
   /// Its units count in its customer's quota.
   paid: bool,
   /// They were asked for then, ms.
@@ -77,20 +77,20 @@
   /// Its place among those that wait.
   tag: Option<u64>,
   /// The unit of a server's limit that its send under way took.
-  pub(crate) room: Option<quota::Id>,
+  pub(crate) limit_unit: Option<quota::Id>,
   /// The leaves that it has, for itself and at a server: it may crash servers.
-  pub(crate) leaves: Vec<quota::Id>,
+  pub(crate) permits: Vec<quota::Id>,
   /// The unit that it asked for, and since when, ms.
-  pub(crate) wants: Option<(quota::Id, u64)>,
+  pub(crate) pending_unit: Option<(quota::Id, u64)>,
 }
 
 /// Everything that routed requests are decided by.
 pub struct State {
   pub zone: String,
-  pub bound: Bound,
+  pub retry_bound: Bound,
   pub deployment: Option<Arc<Deployment>>,
   pub backends: SlotMap<backend::Key, Backend>,
-  pub ids: HashMap<String, backend::Key>,
+  pub by_id: HashMap<String, backend::Key>,
   /// The servers were read at least once.
   pub listed: bool,
   /// What is kept from servers was read from the store.
@@ -111,15 +111,15 @@
   /// Requests that wait at this time are refused: the process is to end, ms.
   stop_at: u64,
   /// When a planner was last heard of, ms.
-  pub updated_at: u64,
-  pub(crate) lapses: Lapses,
-  pub(crate) returned: Returned,
+  pub planner_seen_at: u64,
+  pub(crate) expiry: Expiry,
+  pub(crate) restored: Restored,
   /// What callers want that were sent away with a Retry-After.
-  pub(crate) wants: Deferrals,
+  pub(crate) deferrals: Deferrals,
   /// How slow servers were for each model since the last report.
   pub(crate) strain: Totals,
   /// Holdings of servers whose entries were not read yet, and when they came, ms.
-  pub(crate) early: BTreeMap<String, (Holding, u64)>,
+  pub(crate) early_holdings: BTreeMap<String, (Holding, u64)>,
   /// Counts changes of holdings that were published.
   pub updates: u64,
   /// Which requests pass to servers that they may crash.
@@ -127,14 +127,14 @@
   /// What servers said of themselves in their answers.
   pub(crate) limits: Limits,
   pub(crate) leaving: Leaving,
-  pub(crate) rests: Rests,
+  pub(crate) backoffs: Rests,
   /// What this instance may use of quotas.
-  pub(crate) purse: Purse,
+  pub(crate) quotas: Purse,
   /// What all instances keep of customers' quotas.
   quota_bound: quota::Bound,
   turns: Turns,
   /// Leaves were given back.
-  pub(crate) freed: bool,
+  pub(crate) permits_released: bool,
   rng: SmallRng,
   pub(crate) now: u64,
   pub(crate) out: Vec<Effect>,
@@ -145,13 +145,13 @@
 
 impl State {
   /// State of an instance that knows nothing yet.
-  pub fn open(zone: &str, bound: Bound, seed: u64) -> Self {
+  pub fn new(zone: &str, bound: Bound, seed: u64) -> Self {
     Self {
       zone: zone.into(),
-      bound,
+      retry_bound: bound,
       deployment: None,
       backends: SlotMap::with_key(),
-      ids: HashMap::new(),
+      by_id: HashMap::new(),
       listed: false,
       records_read: false,
       changes: 0,
@@ -162,21 +162,21 @@
       instances: INSTANCES,
       new_until: u64::MAX,
       stop_at: u64::MAX,
-      updated_at: 0,
-      lapses: Lapses::default(),
-      returned: Returned::default(),
-      wants: Deferrals::new(),
+      planner_seen_at: 0,
+      expiry: Expiry::default(),
+      restored: Restored::default(),
+      deferrals: Deferrals::new(),
       strain: Totals::new(),
-      early: BTreeMap::new(),
+      early_holdings: BTreeMap::new(),
       updates: 0,
       door: Filter::default(),
       limits: Limits::default(),
       leaving: Leaving::default(),
-      rests: Rests::default(),
-      purse: Purse::open(seed),
+      backoffs: Rests::default(),
+      quotas: Purse::open(seed),
       quota_bound: quota::BOUND,
       turns: Turns::default(),
-      freed: false,
+      permits_released: false,
       rng: SmallRng::seed_from_u64(seed),
       now: 0,
       out: Vec::new(),
@@ -200,12 +200,12 @@
       Event::Servers(changes) => self.servers(changes),
       Event::Updated {
         holdings,
-        all,
+        group: all,
         loads,
         instances,
       } => {
         self.instances = instances.max(1);
-        self.updated_at = now;
+        self.planner_seen_at = now;
         if let Some(loads) = loads {
           self.loads(&loads);
         }
@@ -213,35 +213,38 @@
       }
       Event::Arrived(ask) => self.arrived(ask),
       Event::Ended { ticket, end } => self.ended(ticket, end),
-      Event::Began(ticket) => {
+      Event::ResponseStarted(ticket) => {
         self.answering(ticket);
         self.record_answer_start(ticket);
       }
-      Event::Look(ticket) => self.place(ticket),
-      Event::Left(ticket) => self.left(ticket),
-      Event::StoreLost => self.lapses.lose(now),
+      Event::Recheck(ticket) => self.dispatch(ticket),
+      Event::CallerGone(ticket) => self.left(ticket),
+      Event::StoreLost => self.expiry.lose(now),
       Event::StoreBack(silence) => self.store_back(&silence),
-      Event::StoreReturned => {
-        self.returned.begin(now);
-        self.lapses.lack(now);
+      Event::StoreRestored => {
+        self.restored.record_restore(now);
+        self.expiry.lack(now);
       }
-      Event::StoreCurrent => self.lapses.close(),
+      Event::StoreCurrent => self.expiry.close(),
       Event::Resumed(ticket) => self.answering(ticket),
       Event::Quarantined(entries) => {
         self.door.update_quarantine(now, &entries);
-        self.place_waiting();
+        self.dispatch_waiting();
       }
       Event::RecordsRead => self.records_read = true,
-      Event::Used(sums) => self.purse.hear(now, &sums),
+      Event::QuotaUsage(sums) => self.quotas.hear(now, &sums),
       Event::Granted { sent, grants } => {
-        self.purse.grant(now, sent, &grants);
-        self.place_waiting();
+        self.quotas.grant(now, sent, &grants);
+        self.dispatch_waiting();
       }
-      Event::Named { ticket, rate } => self.named(ticket, rate),
+      Event::LimitAnnounced { ticket, rate } => self.named(ticket, rate),
       Event::Statements(statements) => self.hear_statements(&statements),
       Event::Leaving(server) => self.hear_leaving(server, now, true),
-      Event::Rest { server, rest_ms } => self.hear_rest(server, rest_ms),
-      Event::Took(server) => self.took(server),
+      Event::Backoff {
+        server,
+        backoff_ms: rest_ms,
+      } => self.hear_rest(server, rest_ms),
+      Event::TrialAccepted(server) => self.took(server),
       Event::Suspected(entries) => self.door.update_suspects(now, &entries),
       Event::Stopping(new_until, wait_until) => {
         self.new_until = new_until;
@@ -256,39 +259,39 @@
     if self.deployment.as_ref().is_none_or(newer) {
       self.deployment = Some(deployment);
       self.changes += 1;
-      self.place_waiting();
+      self.dispatch_waiting();
     }
   }
 
-  fn arrived(&mut self, ask: Ask) {
+  fn arrived(&mut self, ask: Descriptor) {
     let budget = self.budgets.entry(ask.pool.clone()).or_default();
-    budget.request(self.now, &self.bound);
+    budget.record_request(self.now, &self.retry_bound);
     let ticket = ask.ticket;
     let request = Request {
-      ask,
+      descriptor: ask,
       sends: 0,
       runs: 0,
-      at: None,
+      backend: None,
       tried: Vec::new(),
       verdict: Verdict::NotRun,
       arrived: self.now,
-      waiting: None,
+      waiting_since: None,
       sent: 0,
-      began: false,
-      answering: None,
-      broke: 0,
+      response_started: false,
+      first_event_at: None,
+      failed_at: 0,
       paid: false,
       asked: None,
       tag: None,
-      room: None,
-      leaves: Vec::new(),
-      wants: None,
+      limit_unit: None,
+      permits: Vec::new(),
+      pending_unit: None,
     };
     self.requests.insert(ticket, request);
     if self.now >= self.new_until {
       return self.refuse(ticket, Reason::Stopping);
     }
-    self.place(ticket);
+    self.dispatch(ticket);
   }
 
   /// The caller has gone; a send that its thread has not seen yet is not made.
@@ -296,7 +299,7 @@
     let decided = self
       .requests
       .get_mut(&ticket)
-      .and_then(|request| Some((request.at.take()?, request.ask.model.clone())));
+      .and_then(|request| Some((request.backend.take()?, request.descriptor.model.clone())));
     if let Some((key, model)) = decided {
       self.settle(key, model, End::Left);
     }
@@ -310,9 +313,9 @@
     };
     self.waiting.remove(&order(&request));
     if let (true, Verdict::NotRun, Some(caller)) =
-      (request.paid, request.verdict, request.ask.caller)
+      (request.paid, request.verdict, request.descriptor.caller)
     {
-      self.purse.give_back(caller.customer, caller.cost);
+      self.quotas.give_back(caller.customer, caller.cost);
     }
   }
 
@@ -324,7 +327,7 @@
     let Some(request) = self.requests.get_mut(&ticket) else {
       return false;
     };
-    let quota = match (request.paid, request.ask.caller, customers) {
+    let quota = match (request.paid, request.descriptor.caller, customers) {
       (false, Some(caller), Some(book)) => {
         let customer = book.get(caller.customer);
         customer.and_then(|customer| Some((caller, customer.quota?)))
@@ -342,7 +345,7 @@
     let customer = (caller.customer, &allowance);
     let asked = request.asked;
     match self
-      .purse
+      .quotas
       .spend(now, customer, caller.cost, asked, self.instances)
     {
       Spending::Spent => {
@@ -352,15 +355,17 @@
       Spending::Ask(until) => {
         let new = request.asked.is_none();
         request.asked.get_or_insert(now);
-        let until = until.min(request.ask.until).min(now + quota::AGAIN_MS);
+        let until = until
+          .min(request.descriptor.deadline)
+          .min(now + quota::AGAIN_MS);
         self.wait(ticket, until);
         if new {
-          self.out.push(Effect::Need);
+          self.out.push(Effect::RequestQuota);
         }
         false
       }
       Spending::Over(retry_after) => {
-        self.send_back(ticket, Reason::QuotaExceeded, retry_after);
+        self.refuse_with_retry_after(ticket, Reason::QuotaExceeded, retry_after);
         false
       }
     }
@@ -371,7 +376,7 @@
     let Some(request) = self.requests.get_mut(&ticket) else {
       return;
     };
-    if let (None, Some(caller)) = (request.tag, request.ask.caller) {
+    if let (None, Some(caller)) = (request.tag, request.descriptor.caller) {
       request.tag = Some(self.turns.tag(caller.customer, caller.cost));
     }
     self.waiting.insert(order(request));
@@ -381,7 +386,7 @@
   /// Whether requests wait for a unit of a limit, or for a leave.
   pub fn needs_units(&self) -> bool {
     let mut waiting = self.waiting.iter();
-    waiting.any(|(.., ticket)| self.requests[ticket].wants.is_some())
+    waiting.any(|(.., ticket)| self.requests[ticket].pending_unit.is_some())
   }
 
   /// What is used of quotas here, and needed, for the holder of the lease.
@@ -389,14 +394,14 @@
     let mut needs: HashMap<quota::Id, u32> = HashMap::new();
     for (.., ticket) in &self.waiting {
       let request = &self.requests[ticket];
-      if let (false, Some(caller)) = (request.paid, request.ask.caller) {
+      if let (false, Some(caller)) = (request.paid, request.descriptor.caller) {
         *needs.entry(caller.customer).or_default() += caller.cost;
       }
-      if let Some((id, _)) = request.wants {
+      if let Some((id, _)) = request.pending_unit {
         *needs.entry(id).or_default() += 1;
       }
     }
-    self.purse.uses(now, &needs)
+    self.quotas.uses(now, &needs)
   }
 
   /// What servers in need said, as this instance knows it.
@@ -405,21 +410,26 @@
   }
 
   /// Bounds what all instances keep of customers' quotas.
-  pub fn bound_quotas(&mut self, bound: quota::Bound) {
+  pub fn set_quota_bound(&mut self, bound: quota::Bound) {
     self.quota_bound = bound;
   }
 
   /// What this instance knows of quotas.
-  pub fn purse(&self) -> &Purse {
-    &self.purse
+  pub fn quotas(&self) -> &Purse {
+    &self.quotas
   }
 
   fn refuse(&mut self, ticket: Ticket, reason: Reason) {
-    self.send_back(ticket, reason, RETRY_AFTER_MS);
+    self.refuse_with_retry_after(ticket, reason, RETRY_AFTER_MS);
   }
 
   /// Refuses a request; its caller may come back after some time, ms.
-  pub(crate) fn send_back(&mut self, ticket: Ticket, reason: Reason, retry_after: u64) {
+  pub(crate) fn refuse_with_retry_after(
+    &mut self,
+    ticket: Ticket,
+    reason: Reason,
+    retry_after: u64,
+  ) {
     let Some(request) = self.requests.get(&ticket) else {
       return;
     };
@@ -432,32 +442,32 @@
     self.forget(ticket);
   }
 
-  pub(crate) fn place_waiting(&mut self) {
+  pub(crate) fn dispatch_waiting(&mut self) {
     let tickets: Vec<Ticket> = self.waiting.iter().map(|entry| entry.2).collect();
     for ticket in tickets {
-      self.place(ticket);
+      self.dispatch(ticket);
     }
   }
 
   /// Sends a request, lets it wait, or gives it up.
-  fn place(&mut self, ticket: Ticket) {
+  fn dispatch(&mut self, ticket: Ticket) {
     let Some(request) = self.requests.get(&ticket) else {
       return;
     };
-    if request.at.is_some() {
+    if request.backend.is_some() {
       return;
     }
-    let pass = self.door.admission(self.now, request.ask.content);
+    let pass = self.door.admission(self.now, request.descriptor.content);
     if pass == Admission::Denied {
       return self.refuse_quarantined(ticket);
     }
-    if self.now >= request.ask.until {
+    if self.now >= request.descriptor.deadline {
       return self.refuse(ticket, Reason::TooLate);
     }
     if self.now >= self.stop_at {
       return self.refuse(ticket, Reason::Stopping);
     }
-    if request.sends >= request.ask.route.attempts + DECLINED_MOST {
+    if request.sends >= request.descriptor.route.attempts + DECLINED_MOST {
       return self.refuse(ticket, Reason::NoServer);
     }
     if !self.pay(ticket) {
@@ -466,7 +476,7 @@
     let choice = match pass {
       Admission::Delayed(until) => return self.hold_suspect(ticket, until),
       // Nobody asks for a leave that could not be used.
-      Admission::Isolated(_) if self.fitting(ticket).is_empty() => Choice::Nobody,
+      Admission::Isolated(_) if self.candidates(ticket).is_empty() => Choice::Nobody,
       Admission::Isolated(crashes) => match self.acquire_permit(ticket, crashes) {
         Permit::Granted => self.choose(ticket, Some(crashes)),
         Permit::Requested(until) => return self.hold_suspect(ticket, until),
@@ -478,7 +488,7 @@
       Choice::Server(key) => self.send(ticket, key),
       Choice::Ask(until) => self.ask_for_room(ticket, until),
       Choice::Full(after) => self.hold_full(ticket, after),
-      Choice::Nobody => self.hold(ticket),
+      Choice::Nobody => self.wait_for_server(ticket),
     }
   }
 
@@ -487,7 +497,9 @@
     let Some(request) = self.requests.get(&ticket) else {
       return;
     };
-    let until = until.min(request.ask.until).min(self.now + quota::AGAIN_MS);
+    let until = until
+      .min(request.descriptor.deadline)
+      .min(self.now + quota::AGAIN_MS);
     self.wait(ticket, until);
   }
 
@@ -500,7 +512,7 @@
     if self.now >= give_up {
       return self.refuse(ticket, Reason::NoServer);
     }
-    let until = request.ask.until.min(give_up).min(turn);
+    let until = request.descriptor.deadline.min(give_up).min(turn);
     self.wait(ticket, until);
   }
 
@@ -508,53 +520,57 @@
   fn answering(&mut self, ticket: Ticket) {
     let now = self.now;
     if let Some(request) = self.requests.get_mut(&ticket) {
-      request.answering.get_or_insert(now);
+      request.first_event_at.get_or_insert(now);
     }
   }
 
-  pub(crate) fn hold(&mut self, ticket: Ticket) {
+  pub(crate) fn wait_for_server(&mut self, ticket: Ticket) {
     let now = self.now;
-    let silent = self.updated_at > 0 && now > self.updated_at + ISOLATED_MS;
-    let isolated = silent && self.lapses.lost();
+    let silent = self.planner_seen_at > 0 && now > self.planner_seen_at + ISOLATED_MS;
+    let isolated = silent && self.expiry.lost();
     let Some(request) = self.requests.get_mut(&ticket) else {
       return;
     };
-    if isolated && request.ask.model.is_some() && request.verdict == Verdict::NotRun {
+    if isolated && request.descriptor.model.is_some() && request.verdict == Verdict::NotRun {
       // Nobody hears what is wanted here: another instance can do more.
       return self.refuse(ticket, Reason::NoServer);
     }
-    let new = request.waiting.is_none();
-    request.waiting.get_or_insert(now);
+    let new = request.waiting_since.is_none();
+    request.waiting_since.get_or_insert(now);
     let give_up = give_up_at(request);
     let request = request.clone();
     if self.failed_everywhere(&request) {
       return self.refuse(ticket, Reason::ServerFailed);
     }
     if let Some(retry_after) = self.after_rest_ms(&request) {
-      self.add_deferral(&request.ask, retry_after);
-      self.out.push(Effect::Want);
-      return self.send_back(ticket, Reason::ServerRest, retry_after);
+      self.add_deferral(&request.descriptor, retry_after);
+      self.out.push(Effect::ReportDemand);
+      return self.refuse_with_retry_after(ticket, Reason::ServerRest, retry_after);
     }
     if let Some(retry_after) = self.retry_after_ms(&request) {
-      self.add_deferral(&request.ask, retry_after);
-      self.out.push(Effect::Want);
-      return self.send_back(ticket, Reason::Loading, retry_after);
+      self.add_deferral(&request.descriptor, retry_after);
+      self.out.push(Effect::ReportDemand);
+      return self.refuse_with_retry_after(ticket, Reason::Loading, retry_after);
     }
     if now >= give_up {
       return self.refuse(ticket, Reason::NoServer);
     }
-    let until = request.ask.until.min(give_up).min(now + LOOK_MS);
-    let wants = request.ask.model.is_some();
+    let until = request
+      .descriptor
+      .deadline
+      .min(give_up)
+      .min(now + RECHECK_MS);
+    let wants = request.descriptor.model.is_some();
     self.wait(ticket, until);
     if new && wants {
-      self.out.push(Effect::Want);
+      self.out.push(Effect::ReportDemand);
     }
   }
 
   /// Whether a request has run at each server that could take it: its caller would wait for
   /// nothing.
   fn failed_everywhere(&self, request: &Request) -> bool {
-    let pool = &request.ask.pool;
+    let pool = &request.descriptor.pool;
     let open = |(key, backend): (backend::Key, &Backend)| {
       backend.spec.pool == *pool && !backend.is_leaving() && !request.tried.contains(&key)
     };
@@ -566,21 +582,21 @@
       return;
     };
     request.sends += 1;
-    request.at = Some(key);
-    request.waiting = None;
+    request.backend = Some(key);
+    request.waiting_since = None;
     request.sent = self.now;
-    request.answering = None;
+    request.first_event_at = None;
     let entry = order(request);
     if let Some(tag) = request.tag.take() {
       self.turns.went(tag);
     }
     let backend = &mut self.backends[key];
     backend.running += 1;
-    if let Some(model) = &request.ask.model {
+    if let Some(model) = &request.descriptor.model {
       *self.running.entry((key, model.clone())).or_default() += 1;
     }
     let limited = self.limits.rate(backend.spec.life()).is_some();
-    let trial = self.rests.send(backend.spec.life(), self.now);
+    let trial = self.backoffs.send(backend.spec.life(), self.now);
     let missing = backend.missing_since;
     let attempt = Attempt {
       ticket,
@@ -610,8 +626,8 @@
   }
 
   /// Until when the holdings published last count, ms.
-  pub(crate) fn current_until(&self) -> u64 {
-    self.updated_at + CURRENT_MS
+  pub(crate) fn holdings_valid_until(&self) -> u64 {
+    self.planner_seen_at + CURRENT_MS
   }
 
   pub(crate) fn engine(&self, pool: &str) -> Option<&Engine> {
@@ -623,6 +639,10 @@
 /// The order of those that wait: by rank, then by turns of customers; without customers by who
 /// has the least time left.
 fn order(request: &Request) -> (u8, u64, Ticket) {
-  let ask = &request.ask;
-  (ask.priority(), request.tag.unwrap_or(ask.until), ask.ticket)
+  let ask = &request.descriptor;
+  (
+    ask.priority(),
+    request.tag.unwrap_or(ask.deadline),
+    ask.ticket,
+  )
 }
--- a/src/dispatch/choice.rs
+++ b/src/dispatch/choice.rs
@@ -1,6 +1,6 @@
 //! Which servers can take a request, and which of them does.
 
-use super::{State, event::Ask};
+use super::{State, event::Descriptor};
 use crate::{
   backend::{self, Backend},
   request::Ticket,
@@ -16,18 +16,18 @@
 
 impl State {
   /// Servers that could take a request now, with their load.
-  pub(crate) fn fitting(&self, ticket: Ticket) -> Vec<(backend::Key, u32)> {
+  pub(crate) fn candidates(&self, ticket: Ticket) -> Vec<(backend::Key, u32)> {
     let mut found: Vec<(backend::Key, u32)> = Vec::new();
     let Some(request) = self.requests.get(&ticket) else {
       return found;
     };
-    let ask = &request.ask;
+    let ask = &request.descriptor;
     for (key, backend) in &self.backends {
       let fits = backend.spec.pool == ask.pool
         && backend.is_usable(self.now)
         && self.is_open(backend)
         && !request.tried.contains(&key)
-        && self.fits(backend, ask);
+        && self.holds_model(backend, ask);
       if fits {
         let near = backend.spec.zone == self.zone;
         let far = if near { 0 } else { ZONE_LOAD };
@@ -40,13 +40,13 @@
 
   /// The server among some that a request goes to; one that was in so many crashes parts from
   /// others.
-  pub(crate) fn pick(
+  pub(crate) fn pick_backend(
     &mut self,
     ticket: Ticket,
     found: &[(backend::Key, u32)],
     crashes: Option<u32>,
   ) -> Option<backend::Key> {
-    let ask = &self.requests.get(&ticket)?.ask;
+    let ask = &self.requests.get(&ticket)?.descriptor;
     if let Some(crashes) = crashes {
       return self.nearest_hash(found, ask.content.seeded_hash(crashes));
     }
@@ -71,10 +71,10 @@
     best.map(|(key, _)| *key)
   }
 
-  pub(crate) fn fits(&self, backend: &Backend, ask: &Ask) -> bool {
+  pub(crate) fn holds_model(&self, backend: &Backend, ask: &Descriptor) -> bool {
     match &ask.model {
       Some(model) => {
-        let until = self.current_until();
+        let until = self.holdings_valid_until();
         backend.holds(&model.name, model.adapter.as_deref(), until, self.now)
       }
       None => true,
--- a/src/dispatch/ending.rs
+++ b/src/dispatch/ending.rs
@@ -26,21 +26,21 @@
     let Some(request) = self.requests.get_mut(&ticket) else {
       return;
     };
-    let Some(key) = request.at.take() else {
+    let Some(key) = request.backend.take() else {
       return;
     };
     if end.verdict() == Verdict::MayHaveRun {
       request.runs += 1;
-      request.broke = self.now;
+      request.failed_at = self.now;
       request.tried.push(key);
     }
     request.verdict = request.verdict.and(end.verdict());
-    self.free_room(ticket, end.reached());
+    self.free_room(ticket, end.may_have_reached_server());
     self.release_permits(ticket, Some(end));
     let Some(request) = self.requests.get(&ticket) else {
       return;
     };
-    let model = request.ask.model.clone();
+    let model = request.descriptor.model.clone();
     if end == End::Full {
       self.record_declined(ticket);
     }
@@ -59,14 +59,14 @@
       End::Barred => self.refuse(ticket, Reason::KeyUnknown),
       End::Unsure => self.refuse(ticket, Reason::KeysUnsure),
       // Nothing arrived anywhere: the next send is no repeat.
-      End::Leaving | End::Resting => self.place(ticket),
+      End::Leaving | End::Resting => self.dispatch(ticket),
     }
-    self.place_waiting();
+    self.dispatch_waiting();
   }
 
   fn served(&mut self, ticket: Ticket) {
     if let Some(request) = self.requests.get(&ticket) {
-      self.door.record_served(request.ask.content);
+      self.door.record_served(request.descriptor.content);
     }
   }
 
@@ -74,7 +74,7 @@
     let Some(request) = self.requests.get(&ticket) else {
       return;
     };
-    let route = &request.ask.route;
+    let route = &request.descriptor.route;
     if route.repeatable() && request.runs < route.attempts {
       self.again(ticket);
     } else {
@@ -87,9 +87,12 @@
       return;
     };
     let now = self.now;
-    let budget = self.budgets.entry(request.ask.pool.clone()).or_default();
-    if budget.repeat(now, &self.bound, self.instances) {
-      self.place(ticket);
+    let budget = self
+      .budgets
+      .entry(request.descriptor.pool.clone())
+      .or_default();
+    if budget.try_retry(now, &self.retry_bound, self.instances) {
+      self.dispatch(ticket);
     } else {
       let reason = match request.verdict {
         Verdict::NotRun => Reason::NoServer,
@@ -127,7 +130,7 @@
         if let Some(model) = &model {
           let name = missing_name(&model.name, model.adapter.as_deref());
           if backend.mark_missing(name, now) {
-            self.out.push(Effect::Want);
+            self.out.push(Effect::ReportDemand);
           }
         }
       }
@@ -148,16 +151,20 @@
       }
     }
     let backend = &self.backends[key];
-    if backend.running == 0 && self.ids.get(&backend.spec.id) != Some(&key) {
+    if backend.running == 0 && self.by_id.get(&backend.spec.id) != Some(&key) {
       self.backends.remove(key);
     }
   }
 
   /// Why a send that was decided is not made: what has become known since; none: it is.
-  pub fn overtaken(&self, attempt: &Attempt) -> Option<End> {
+  pub fn abort_reason(&self, attempt: &Attempt) -> Option<End> {
     let backend = self.backends.get(attempt.backend);
     let request = self.requests.get(&attempt.ticket);
-    let kept = |request: &Request| self.door.is_quarantined(self.now, request.ask.content);
+    let kept = |request: &Request| {
+      self
+        .door
+        .is_quarantined(self.now, request.descriptor.content)
+    };
     if request.is_some_and(kept) || backend.is_none_or(Backend::is_leaving) {
       return Some(End::Leaving);
     }
@@ -171,15 +178,15 @@
     else {
       return;
     };
-    let since = request.answering.unwrap_or(self.now);
+    let since = request.first_event_at.unwrap_or(self.now);
     let crash = Crash {
-      content: request.ask.content,
+      content: request.descriptor.content,
       server: backend.spec.life(),
-      run: backend::short_hash(&request.ask.id),
+      run: backend::short_hash(&request.descriptor.id),
       progress_ms: (self.now - since) as u32,
     };
     self.door.record_crash(self.now, crash);
-    self.out.push(Effect::Crashed);
+    self.out.push(Effect::ReportCrashes);
   }
 
   /// Runs that ended with their servers since this was last asked.
--- a/src/dispatch/event.rs
+++ b/src/dispatch/event.rs
@@ -2,7 +2,7 @@
 
 use crate::{
   backend::{self, Holding, Spec},
-  contact::Silence,
+  contact::Outage,
   content,
   crash::{Quarantined, Suspected},
   customer::Caller,
@@ -20,7 +20,7 @@
 
 /// A request, as far as decisions need it.
 #[derive(Clone, Debug)]
-pub struct Ask {
+pub struct Descriptor {
   pub ticket: Ticket,
   /// The caller's own id of the request.
   pub id: String,
@@ -30,14 +30,14 @@
   /// Equal for requests that share the start of their prompt.
   pub affinity: u64,
   /// When it is given up, ms.
-  pub until: u64,
+  pub deadline: u64,
   /// The same for requests that ask for the same thing.
   pub content: content::Key,
   /// Who sent it, where customers are known.
   pub caller: Option<Caller>,
 }
 
-impl Ask {
+impl Descriptor {
   /// Its rank; 0 is the most urgent.
   pub fn priority(&self) -> u8 {
     let own = self.caller.and_then(|caller| caller.priority);
@@ -100,7 +100,7 @@
 
 impl End {
   /// The word used as a metric label.
-  pub fn word(self) -> &'static str {
+  pub fn as_str(self) -> &'static str {
     match self {
       Self::Whole => "whole",
       Self::Failed => "failed",
@@ -121,7 +121,7 @@
   }
 
   /// Whether the request may have reached a server.
-  pub fn reached(self) -> bool {
+  pub fn may_have_reached_server(self) -> bool {
     !matches!(
       self,
       Self::Unreached | Self::Unsent | Self::Leaving | Self::Resting | Self::Barred | Self::Unsure
@@ -151,9 +151,9 @@
   /// All servers there are.
   All(Vec<Spec>),
   Set(Spec),
-  Gone(String),
+  Removed(String),
   /// Its entry is there and names no server to use.
-  Faulty(String),
+  Invalid(String),
 }
 
 /// Something that happened.
@@ -165,30 +165,30 @@
   Updated {
     holdings: Vec<Holding>,
     /// These are all holdings of a group, of so many, not only those that changed.
-    all: Option<(u32, u32)>,
+    group: Option<(u32, u32)>,
     /// Requests at servers, by their lives' short names; none: not sent this time.
     loads: Option<Vec<(u32, u16)>>,
     instances: usize,
   },
-  Arrived(Ask),
+  Arrived(Descriptor),
   Ended {
     ticket: Ticket,
     end: End,
   },
   /// The answer of a request's first send has begun.
-  Began(Ticket),
+  ResponseStarted(Ticket),
   /// A later send has brought its first event.
   Resumed(Ticket),
   /// A waiting request's time has come to be looked at again.
-  Look(Ticket),
+  Recheck(Ticket),
   /// The caller of a waiting request has gone.
-  Left(Ticket),
+  CallerGone(Ticket),
   /// The platform's store does not answer this instance.
   StoreLost,
   /// It does again.
-  StoreBack(Silence),
+  StoreBack(Outage),
   /// It came back from an older copy: what it holds may be older than what is known.
-  StoreReturned,
+  StoreRestored,
   /// All that it had acknowledged by then is known.
   StoreCurrent,
   /// Requests that go to no server from now on: they crash those that run them.
@@ -196,7 +196,7 @@
   /// What is kept from servers was read from the store.
   RecordsRead,
   /// What all instances used of customers' quotas within the last window.
-  Used(Sums),
+  QuotaUsage(Sums),
   /// How far this instance may use customers' quotas, in answer to the report that it sent at
   /// a time, ms.
   Granted {
@@ -205,7 +205,7 @@
   },
   /// The answer of a request's send has come, and names so many requests a second that its
   /// server takes, or none.
-  Named {
+  LimitAnnounced {
     ticket: Ticket,
     rate: Option<f64>,
   },
@@ -214,12 +214,12 @@
   /// A server said to this instance that it leaves.
   Leaving(Life),
   /// A server turned this instance away, and asks it for so much rest, ms.
-  Rest {
+  Backoff {
     server: Life,
-    rest_ms: u64,
+    backoff_ms: u64,
   },
   /// A server took a request that tried it out after its rest.
-  Took(Life),
+  TrialAccepted(Life),
   /// Requests that may be to blame for crashes, with their turns.
   Suspected(Vec<Suspected>),
   /// A planned stop: nothing new is taken from the first time on, and what waits is
@@ -235,11 +235,11 @@
   Wait(Ticket, u64),
   Refuse(Ticket, Refusal),
   /// The planner should load a model.
-  Want,
+  ReportDemand,
   /// Crashes wait to be reported.
-  Crashed,
+  ReportCrashes,
   /// Units of a quota are needed.
-  Need,
+  RequestQuota,
   /// A server's entry is missing, and may come back for so long, ms.
   Missing {
     id: String,
@@ -248,19 +248,19 @@
   /// A server's entry was removed.
   Removed(String),
   /// A server whose entry was missing did not come back.
-  Gone(String),
+  Expired(String),
   /// A server says that it leaves; `own`: to this instance.
   Leaving {
     id: String,
     own: bool,
   },
   /// A server asks this instance for so much rest, ms.
-  Rest {
+  Backoff {
     id: String,
-    rest_ms: u64,
+    backoff_ms: u64,
   },
   /// What is known of a server's limit has changed: requests a second, or none.
-  Limited {
+  LimitChanged {
     id: String,
     rate: Option<f64>,
   },
--- a/src/entry.rs
+++ b/src/entry.rs
@@ -112,7 +112,7 @@
 }
 
 fn serve(hub: &Hub, stream: TcpStream) {
-  let (Ok(mut socket), Ok(mailbox)) = (Socket::accept(stream), Mailbox::open()) else {
+  let (Ok(mut socket), Ok(mailbox)) = (Socket::accept(stream), Mailbox::new()) else {
     return;
   };
   let mailbox = Arc::new(mailbox);
@@ -173,7 +173,7 @@
 /// balancer that does not know of the stop yet keeps opening them.
 fn wait_for_request(hub: &Hub, socket: &mut Socket, first: bool) -> Result<bool, ReadError> {
   let idle_since = Moment::now();
-  let mut idle_deadline = idle_since + limits(hub).idle_time;
+  let mut idle_deadline = idle_since + limits(hub).idle_timeout;
   while socket.input.is_empty() {
     let stopping = hub.stopping.load(Ordering::Relaxed);
     if stopping && !first {
@@ -183,7 +183,7 @@
       true => idle_deadline.min(Moment::now() + STOPPING_IDLE_TIMEOUT),
       false => idle_deadline,
     };
-    let stop = (!stopping).then_some((&hub.stop_bell as _, Interest::Read));
+    let stop = (!stopping).then_some((&hub.stop_waker as _, Interest::Read));
     let [readable, stopped] = wait(
       [Some((&socket.stream as _, Interest::Read)), stop],
       deadline,
@@ -194,7 +194,7 @@
       }
     } else if !stopped {
       // A deployment that was received in the meantime may allow a longer idle time.
-      let new_deadline = idle_since + limits(hub).idle_time;
+      let new_deadline = idle_since + limits(hub).idle_timeout;
       if stopping || new_deadline <= idle_deadline {
         return Ok(false);
       }
@@ -225,7 +225,7 @@
 }
 
 fn read_head(socket: &mut Socket, limits: &Bounds) -> Result<Request, ReadError> {
-  let deadline = Moment::now() + limits.head_time;
+  let deadline = Moment::now() + limits.head_timeout;
   loop {
     // Empty lines before a request are allowed.
     while socket.input.starts_with(b"\r\n") {
@@ -364,9 +364,9 @@
   let caller = customer::caller(&head.headers, hub.dialect.token_usage, customers);
   if route.public {
     // A valid key identifies its customer on a public route as well.
-    return Ok(caller.ok().filter(|_| hub.keys_sure()));
+    return Ok(caller.ok().filter(|_| hub.keys_fresh()));
   }
-  if !hub.keys_sure() {
+  if !hub.keys_fresh() {
     return Err(Refusal {
       reason: Reason::KeysUnsure,
       verdict: Verdict::NotRun,
--- a/src/exchange.rs
+++ b/src/exchange.rs
@@ -43,7 +43,7 @@
     self.hear_store(update.store);
     self.receive_quarantine(now, &update.quarantined, from);
     if let Some(sums) = update.sums.take() {
-      self.hub.apply(Event::Used(sums.clone()), None);
+      self.hub.apply(Event::QuotaUsage(sums.clone()), None);
       self.known_sums = Some((now, sums));
     }
     if holding {
@@ -63,7 +63,7 @@
         Fit::Gap => Vec::new(),
         Fit::Snapshot | Fit::Follows => update.holdings,
       },
-      all: (fit == Fit::Snapshot).then_some((update.group, groups)),
+      group: (fit == Fit::Snapshot).then_some((update.group, groups)),
       loads: (!update.loads.is_empty()).then_some(update.loads),
       instances: update.instances as usize,
     };
@@ -95,7 +95,7 @@
   }
 
   fn store_age(&self) -> StoreAge {
-    let age = self.hub.gates.contact.age();
+    let age = self.hub.gates.reachability.age();
     age.map(|age| age.as_millis() as u64)
   }
 
@@ -104,7 +104,7 @@
     // What waited in the socket while this process stood still would look fresh.
     let age = age.filter(|_| !self.woken).map(Duration::from_millis);
     if let Some(at) = age.and_then(|age| Moment::now().checked_sub(age)) {
-      self.hub.gates.contact.hear(at);
+      self.hub.gates.reachability.record_peer_response(at);
     }
   }
 
@@ -328,7 +328,7 @@
     let holdings = update.holdings.iter();
     let event = Event::Updated {
       holdings: holdings.map(|(_, holding)| holding.clone()).collect(),
-      all: (update.since == 0).then_some((index as u32, groups)),
+      group: (update.since == 0).then_some((index as u32, groups)),
       loads: (!update.loads.is_empty()).then(|| update.loads.clone()),
       instances,
     };
--- a/src/feed/gate.rs
+++ b/src/feed/gate.rs
@@ -2,7 +2,7 @@
 //! others asks by itself when that one's updates are old or name a change that it lacks.
 
 use crate::{
-  clock::Moment, contact::Contact, feed::Batch, hub::lock, socket::Waker, store::Object,
+  clock::Moment, contact::Reachability, feed::Batch, hub::lock, socket::Waker, store::Object,
   store::Revision,
 };
 use serde::{Deserialize, Serialize};
@@ -141,12 +141,12 @@
   changed: Condvar,
   /// Rings when there is something to publish.
   bell: OnceLock<Arc<Waker>>,
-  contact: Arc<Contact>,
+  contact: Arc<Reachability>,
 }
 
 impl Gate {
   /// A gate of an instance that hears of the store's answers also otherwise.
-  pub fn open(contact: Arc<Contact>) -> Self {
+  pub fn open(contact: Arc<Reachability>) -> Self {
     Self {
       contact,
       ..Self::default()
@@ -195,7 +195,7 @@
     }
     state.holder = Some((progress, confirmed));
     state.confirm_holder();
-    self.contact.reach(confirmed);
+    self.contact.record_response(confirmed);
     self.changed.notify_all();
   }
 
@@ -231,7 +231,7 @@
   }
 
   /// When the store answered anybody.
-  pub(super) fn contact(&self) -> &Contact {
+  pub(super) fn contact(&self) -> &Reachability {
     &self.contact
   }
 
@@ -276,7 +276,7 @@
       };
       state.followed = true;
       // Before what was read after a silence, for that says which removals count.
-      if failed.is_some_and(|failed| self.contact.reached_since(failed)) {
+      if failed.is_some_and(|failed| self.contact.responded_since(failed)) {
         return Next::Reached;
       }
       if let Some(batch) = state.next_batch() {
--- a/src/feed/mod.rs
+++ b/src/feed/mod.rs
@@ -8,7 +8,7 @@
 pub use gate::{Gate, Progress};
 
 use crate::clock::Moment;
-use crate::contact::Silence;
+use crate::contact::Outage;
 use crate::store::{Error, Object, Revision, Store};
 use gate::Next;
 use slog::{Logger, info, warn};
@@ -55,7 +55,7 @@
   /// The store does not answer; what is known may be old.
   Lost,
   /// It answers again.
-  Back(Silence),
+  Back(Outage),
   /// It came back from an older copy: all objects that follow may be older than those known.
   Returned,
   /// All that the store had acknowledged when it was back has been given.
@@ -237,7 +237,7 @@
     let Answered {
       event, revision, ..
     } = answered;
-    self.gate.contact().reach(Moment::now());
+    self.gate.contact().record_response(Moment::now());
     self.back();
     self.unread = false;
     let after = self.from.replace(revision).unwrap_or(revision);
@@ -317,11 +317,11 @@
     let Some(lost) = self.lost.take() else {
       return;
     };
-    let silence = self.gate.contact().silence(lost);
+    let silence = self.gate.contact().longest_outage(lost);
     info!(self.log, "store is back"; "kind" => self.kind, "failures" => self.failures,
       "revision" => self.from.map(|from| from.to_string()), "silent_ms" => silence.length.as_millis() as u64,
-      "over_ms" => silence.over.as_millis() as u64,
-      "failed_ms" => silence.failed.as_millis() as u64);
+      "over_ms" => silence.since_recovery.as_millis() as u64,
+      "failed_ms" => silence.since_failure.as_millis() as u64);
     (self.take)(Event::Back(silence));
     self.back = Some(Moment::now());
     self.failures = 0;
@@ -329,9 +329,9 @@
 
   fn fail(&mut self, call: &str, began: Moment, error: &Error) {
     if matches!(error, Error::HistoryGone | Error::Refused(TOO_MANY)) {
-      self.gate.contact().reach(Moment::now());
+      self.gate.contact().record_response(Moment::now());
     } else {
-      self.gate.contact().fail(began);
+      self.gate.contact().record_failure(began);
     }
     if *error == Error::HistoryGone {
       info!(self.log, "history is gone"; "kind" => self.kind, "revision" => self.from.map(|from| from.to_string()));
@@ -360,7 +360,7 @@
     // All instances that start together, or lost the store together, must not return together:
     // 295 that had lost power read the configuration at once, and 1,924 reads got no answer.
     let pause = pause.mul_f64(rand::random_range(SPREAD));
-    self.gate.contact().wait(Moment::now(), pause);
+    self.gate.contact().wait_for_response(Moment::now(), pause);
     self.failures += 1;
   }
 }
--- a/src/health.rs
+++ b/src/health.rs
@@ -86,7 +86,7 @@
   let list = list.and_then(|deployment| deployment.customers.clone());
   let customers = list.iter().flat_map(|list| list.all());
   let customers = customers.map(|customer| {
-    let (used, left) = state.purse().standing(now, Id::of(&customer.name));
+    let (used, left) = state.quotas().standing(now, Id::of(&customer.name));
     json!({
       "name": customer.name, "keys": customer.keys.len(), "priority": customer.priority,
       "rate": customer.quota.map(|quota| quota.rate),
@@ -104,7 +104,7 @@
   json!({
     "version": state.deployment.as_ref().map(|deployment| deployment.version),
     "keysAgeMs": keys_age.map(|age| age.as_millis() as u64),
-    "grantsAgeMs": state.purse().age(now), "customers": customers, "fleet": fleet,
+    "grantsAgeMs": state.quotas().age(now), "customers": customers, "fleet": fleet,
   })
   .to_string()
 }
--- a/src/hub.rs
+++ b/src/hub.rs
@@ -2,7 +2,7 @@
 
 use crate::{
   clock::Moment,
-  contact::Contact,
+  contact::Reachability,
   customer::{Caller, Standing},
   deployment::Deployment,
   dialect::Dialect,
@@ -38,15 +38,15 @@
 #[derive(Debug)]
 pub struct Mailbox {
   directives: Mutex<VecDeque<Directive>>,
-  pub bell: Waker,
+  pub waker: Waker,
 }
 
 impl Mailbox {
   /// An empty mailbox.
-  pub fn open() -> io::Result<Self> {
+  pub fn new() -> io::Result<Self> {
     Ok(Self {
       directives: Mutex::default(),
-      bell: Waker::new()?,
+      waker: Waker::new()?,
     })
   }
 
@@ -70,16 +70,16 @@
   pub deployments: Gate,
   pub servers: Gate,
   /// When the store answered anybody.
-  pub contact: Arc<Contact>,
+  pub reachability: Arc<Reachability>,
 }
 
 impl Gates {
   fn open() -> Self {
-    let contact = Arc::new(Contact::default());
+    let contact = Arc::new(Reachability::default());
     Self {
       deployments: Gate::open(contact.clone()),
       servers: Gate::open(contact.clone()),
-      contact,
+      reachability: contact,
     }
   }
 }
@@ -94,9 +94,9 @@
   /// A planned stop has begun.
   pub stopping: AtomicBool,
   /// Rings at a planned stop.
-  pub stop_bell: Waker,
+  pub stop_waker: Waker,
   /// Rings when demand should be reported to the planner.
-  pub want_bell: Waker,
+  pub report_waker: Waker,
   /// Requests under way.
   pub active: AtomicUsize,
   /// Customers' standings, where this instance holds the lease.
@@ -111,7 +111,7 @@
 
 impl Hub {
   /// A hub around a state.
-  pub fn open(state: State, dialect: Dialect, log: Logger) -> io::Result<Arc<Self>> {
+  pub fn new(state: State, dialect: Dialect, log: Logger) -> io::Result<Arc<Self>> {
     let measures = Measures::open().map_err(|error| io::Error::other(error.to_string()))?;
     Ok(Arc::new(Self {
       log,
@@ -120,8 +120,8 @@
       measures,
       gates: Gates::open(),
       stopping: AtomicBool::new(false),
-      stop_bell: Waker::new()?,
-      want_bell: Waker::new()?,
+      stop_waker: Waker::new()?,
+      report_waker: Waker::new()?,
       active: AtomicUsize::new(0),
       standings: Mutex::default(),
       key_age_ms: AtomicU64::new(u64::MAX),
@@ -133,13 +133,13 @@
   }
 
   /// Keys count for so long after the moment as of which they are surely known.
-  pub fn bound_keys(&self, age: Duration) {
+  pub fn set_max_key_age(&self, age: Duration) {
     let ms = age.as_millis() as u64;
     self.key_age_ms.store(ms, Ordering::Relaxed);
   }
 
   /// Whether what is known of keys still counts.
-  pub fn keys_sure(&self) -> bool {
+  pub fn keys_fresh(&self) -> bool {
     let bound = self.key_age_ms.load(Ordering::Relaxed);
     let age = self.gates.deployments.sure_age();
     bound == u64::MAX || age.is_some_and(|age| age.as_millis() < u128::from(bound))
@@ -150,13 +150,13 @@
     let state = self.state();
     let keyed = |deployment: &Arc<Deployment>| deployment.customers.is_some();
     let keyed = state.deployment.as_ref().is_some_and(keyed);
-    state.ready() && (!keyed || self.keys_sure()) && !self.stopping.load(Ordering::Relaxed)
+    state.ready() && (!keyed || self.keys_fresh()) && !self.stopping.load(Ordering::Relaxed)
   }
 
   /// Why a request of a caller may not go out any more; none: it may.
-  pub fn bars(&self, caller: Option<&Caller>) -> Option<End> {
+  pub fn key_rejection(&self, caller: Option<&Caller>) -> Option<End> {
     let caller = caller?;
-    if !self.keys_sure() {
+    if !self.keys_fresh() {
       return Some(End::Unsure);
     }
     let state = self.state();
@@ -201,21 +201,24 @@
         Effect::Send(attempt) => (attempt.ticket, Directive::Send(attempt)),
         Effect::Wait(ticket, until) => (ticket, Directive::Wait(until)),
         Effect::Refuse(ticket, refusal) => (ticket, Directive::Refuse(refusal)),
-        Effect::Want | Effect::Crashed | Effect::Need => {
-          self.want_bell.wake();
+        Effect::ReportDemand | Effect::ReportCrashes | Effect::RequestQuota => {
+          self.report_waker.wake();
           continue;
         }
-        Effect::Limited { id, rate } => {
+        Effect::LimitChanged { id, rate } => {
           info!(self.log, "server limit"; "server" => id, "rate" => rate);
-          self.want_bell.wake();
+          self.report_waker.wake();
           continue;
         }
         Effect::Leaving { id, own } => {
           info!(self.log, "server says that it leaves"; "server" => id, "to_this_instance" => own);
-          self.want_bell.wake();
+          self.report_waker.wake();
           continue;
         }
-        Effect::Rest { id, rest_ms } => {
+        Effect::Backoff {
+          id,
+          backoff_ms: rest_ms,
+        } => {
           info!(self.log, "server asks for rest"; "server" => id, "rest_ms" => rest_ms);
           continue;
         }
@@ -227,7 +230,7 @@
           info!(self.log, "server is gone"; "server" => id, "why" => "its entry was removed");
           continue;
         }
-        Effect::Gone(id) => {
+        Effect::Expired(id) => {
           info!(self.log, "server is gone"; "server" => id,
             "why" => "its entry did not come back with the store");
           continue;
@@ -243,7 +246,7 @@
       }
       mailbox.put(directive);
       if !own {
-        mailbox.bell.wake();
+        mailbox.waker.wake();
       }
     }
   }
@@ -251,7 +254,7 @@
   /// Begins a planned stop.
   pub fn stop(&self) {
     self.stopping.store(true, Ordering::Relaxed);
-    self.stop_bell.wake();
+    self.stop_waker.wake();
   }
 }
 
--- a/src/lapse.rs
+++ b/src/lapse.rs
@@ -1,7 +1,7 @@
 //! Which missing entries of backend servers may have lapsed with the platform's store, and how
 //! long they may come back.
 
-use crate::{contact::Silence, feed::SILENT};
+use crate::{contact::Outage, feed::SILENT};
 use std::time::Duration;
 
 /// Time for which entries that lapsed while the store was silent may come back once it
@@ -17,7 +17,7 @@
 
 /// One instance's view of the store's silences.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Lapses {
+pub(crate) struct Expiry {
   /// The store does not answer this instance since then, ms.
   lost: Option<u64>,
   /// Entries that are found missing may have lapsed.
@@ -26,7 +26,7 @@
   until: u64,
 }
 
-impl Lapses {
+impl Expiry {
   /// Whether the store does not answer this instance.
   pub(crate) fn lost(&self) -> bool {
     self.lost.is_some()
@@ -38,7 +38,7 @@
   }
 
   /// The store answers this instance again; `missing`: entries did not come back yet.
-  pub(crate) fn back(&mut self, now: u64, silence: &Silence, missing: bool) {
+  pub(crate) fn store_back(&mut self, now: u64, silence: &Outage, missing: bool) {
     let lost_ms = self
       .lost
       .take()
@@ -65,12 +65,12 @@
   }
 
   /// For how long an entry that is found missing may come back, ms; none: it does not.
-  pub(crate) fn wait_ms(&self, now: u64) -> Option<u64> {
+  pub(crate) fn remaining_ms(&self, now: u64) -> Option<u64> {
     (self.possible && now < self.until).then(|| self.until - now)
   }
 
   /// Whether what is still missing is gone; said once.
-  pub(crate) fn take_over(&mut self, now: u64) -> bool {
+  pub(crate) fn take_ended(&mut self, now: u64) -> bool {
     let over = self.until > 0 && !self.lost() && now >= self.until;
     if over {
       self.until = 0;
@@ -80,7 +80,7 @@
 }
 
 /// Until when entries that lapsed in a silence may come back, ms.
-fn until(now: u64, silence: &Silence) -> u64 {
+fn until(now: u64, silence: &Outage) -> u64 {
   let after = |ms: u64, since: Duration| (now + ms).saturating_sub(since.as_millis() as u64);
-  after(LAPSE_MS, silence.over).min(after(CONTACT_MS, silence.failed))
+  after(LAPSE_MS, silence.since_recovery).min(after(CONTACT_MS, silence.since_failure))
 }
--- a/src/limit/room.rs
+++ b/src/limit/room.rs
@@ -35,9 +35,9 @@
   /// Chooses the server for a request's next send; one that was in so many crashes parts from
   /// others.
   pub(crate) fn choose(&mut self, ticket: Ticket, crashes: Option<u32>) -> Choice {
-    let mut found = self.fitting(ticket);
+    let mut found = self.candidates(ticket);
     let mut full: Option<u64> = None;
-    while let Some(key) = self.pick(ticket, &found, crashes) {
+    while let Some(key) = self.pick_backend(ticket, &found, crashes) {
       found.retain(|(other, _)| *other != key);
       let server = self.backends[key].spec.life();
       match self.acquire_server_permit(ticket, server, crashes.unwrap_or_default()) {
@@ -65,7 +65,7 @@
       return Room::Free;
     };
     let id = Id::of_life(server);
-    let asked = request.wants.filter(|(wanted, _)| *wanted == id);
+    let asked = request.pending_unit.filter(|(wanted, _)| *wanted == id);
     let asked = asked.map(|(_, since)| since);
     let patience = asked.unwrap_or(now) + AGAIN_MS;
     if !last && now >= patience {
@@ -73,21 +73,21 @@
       return Room::Full(AGAIN_MS);
     }
     let own = (id, &allowance(rate));
-    match self.purse.spend(now, own, 1, asked, self.instances) {
+    match self.quotas.spend(now, own, 1, asked, self.instances) {
       Spending::Spent => {
-        request.room = Some(id);
-        request.wants = None;
+        request.limit_unit = Some(id);
+        request.pending_unit = None;
         Room::Free
       }
       Spending::Ask(until) => {
         if asked.is_none() {
-          request.wants = Some((id, now));
-          self.out.push(Effect::Need);
+          request.pending_unit = Some((id, now));
+          self.out.push(Effect::RequestQuota);
         }
         Room::Ask(if last { until } else { patience })
       }
       Spending::Over(after) => {
-        request.wants = None;
+        request.pending_unit = None;
         Room::Full(after)
       }
     }
@@ -96,9 +96,9 @@
   /// A send has ended that surely did not reach its server: its unit is free again.
   pub(crate) fn free_room(&mut self, ticket: Ticket, reached: bool) {
     let request = self.requests.get_mut(&ticket);
-    let room = request.and_then(|request| request.room.take());
+    let room = request.and_then(|request| request.limit_unit.take());
     if let (Some(id), false) = (room, reached) {
-      self.purse.give_back(id, 1);
+      self.quotas.give_back(id, 1);
     }
   }
 
@@ -113,18 +113,18 @@
       .servers_of(&request)
       .any(|backend| !self.in_need(backend));
     if sound || request.verdict != Verdict::NotRun {
-      return self.hold(ticket);
+      return self.wait_for_server(ticket);
     }
     let after = after.max(1);
     match self.ready_elsewhere(&request) {
-      Some(ready) if ready <= give_up_at(&request) => self.hold(ticket),
+      Some(ready) if ready <= give_up_at(&request) => self.wait_for_server(ticket),
       Some(_) => {
         // The next one finds it loaded.
-        self.add_deferral(&request.ask, after);
-        self.out.push(Effect::Want);
-        self.send_back(ticket, Reason::ServerLimit, after);
+        self.add_deferral(&request.descriptor, after);
+        self.out.push(Effect::ReportDemand);
+        self.refuse_with_retry_after(ticket, Reason::ServerLimit, after);
       }
-      None => self.send_back(ticket, Reason::ServerLimit, after),
+      None => self.refuse_with_retry_after(ticket, Reason::ServerLimit, after),
     }
   }
 
@@ -136,11 +136,11 @@
     let backends = self.backends.iter();
     backends
       .filter(|(key, backend)| {
-        let ask = &request.ask;
+        let ask = &request.descriptor;
         backend.spec.pool == ask.pool
           && !backend.is_leaving()
           && !request.tried.contains(key)
-          && self.fits(backend, ask)
+          && self.holds_model(backend, ask)
       })
       .map(|(_, backend)| backend)
   }
@@ -155,7 +155,7 @@
     let Some(request) = self.requests.get(&ticket) else {
       return;
     };
-    let Some(backend) = request.at.and_then(|key| self.backends.get(key)) else {
+    let Some(backend) = request.backend.and_then(|key| self.backends.get(key)) else {
       return;
     };
     let server = backend.spec.life();
@@ -186,7 +186,7 @@
       .map(|backend| &backend.spec)
       .find(|spec| spec.life() == server);
     let id = id.map(|spec| spec.id.clone()).unwrap_or_default();
-    self.out.push(Effect::Limited { id, rate });
-    self.place_waiting();
+    self.out.push(Effect::LimitChanged { id, rate });
+    self.dispatch_waiting();
   }
 }
--- a/src/listing.rs
+++ b/src/listing.rs
@@ -3,7 +3,7 @@
 
 use crate::{
   backend::{self, Backend, Holding, Spec, Stage},
-  contact::Silence,
+  contact::Outage,
   dispatch::{Change, Effect, State},
 };
 
@@ -18,7 +18,7 @@
       match change {
         Change::All(specs) => {
           let gone: Vec<String> = self
-            .ids
+            .by_id
             .keys()
             .filter(|id| !specs.iter().any(|spec| spec.id == **id))
             .cloned()
@@ -28,25 +28,25 @@
           self.listed = true;
         }
         Change::Set(spec) => self.set(spec),
-        Change::Gone(id) => self.gone(&id),
-        Change::Faulty(id) => self.remove(&id),
+        Change::Removed(id) => self.gone(&id),
+        Change::Invalid(id) => self.remove(&id),
       }
     }
     self.drop_lapsed();
-    self.place_waiting();
+    self.dispatch_waiting();
   }
 
   /// Takes up an entry of a whole list, which the store may have from an older copy.
   fn set_listed(&mut self, spec: Spec) {
     let (id, life) = (spec.id.clone(), spec.life());
-    let known = self.ids.get(&id);
+    let known = self.by_id.get(&id);
     let before = known.map_or(0, |key| self.backends[*key].unconfirmed_until);
     let unsure_until = match known {
       Some(_) => before,
-      None => self.returned.unsure_until(life, self.now),
+      None => self.restored.unconfirmed_until(life, self.now),
     };
     self.set(spec);
-    if let Some(key) = self.ids.get(&id) {
+    if let Some(key) = self.by_id.get(&id) {
       self.backends[*key].unconfirmed_until = unsure_until;
     }
   }
@@ -55,7 +55,7 @@
     if spec.stage == Stage::Draining {
       self.read_leaving(spec.life());
     }
-    let known = self.ids.get(&spec.id);
+    let known = self.by_id.get(&spec.id);
     let known = known.map(|key| self.backends[*key].spec.life());
     if known.is_some_and(|known| known.ends(spec.life())) {
       return;
@@ -64,7 +64,7 @@
       // Requests that still run there keep their place in the life that has ended.
       self.remove(&spec.id);
     }
-    match self.ids.get(&spec.id) {
+    match self.by_id.get(&spec.id) {
       Some(key) => {
         let backend = &mut self.backends[*key];
         backend.spec = spec;
@@ -77,7 +77,7 @@
       None => {
         let id = spec.id.clone();
         let mut backend = Backend::new(spec, self.now);
-        if let Some((holding, _)) = self.early.remove(&id)
+        if let Some((holding, _)) = self.early_holdings.remove(&id)
           && holding.life().counts(backend.spec.life())
         {
           backend.update(holding, self.now);
@@ -85,15 +85,15 @@
         // An entry that comes back may be older than what the server said.
         backend.leaving = self.leaving.contains(backend.spec.life());
         let key = self.backends.insert(backend);
-        self.ids.insert(id, key);
+        self.by_id.insert(id, key);
       }
     }
   }
 
   /// The store answers again.
-  pub(crate) fn store_back(&mut self, silence: &Silence) {
+  pub(crate) fn store_back(&mut self, silence: &Outage) {
     let missing = self.lapsed().next().is_some();
-    self.lapses.back(self.now, silence, missing);
+    self.expiry.store_back(self.now, silence, missing);
   }
 
   /// Servers whose entries are missing and may come back.
@@ -106,7 +106,7 @@
 
   /// Gives up the servers whose entries did not come back in time.
   pub(crate) fn drop_lapsed(&mut self) {
-    if !self.lapses.take_over(self.now) {
+    if !self.expiry.take_ended(self.now) {
       return;
     }
     let ids: Vec<String> = self
@@ -115,17 +115,17 @@
       .collect();
     self.changes += u64::from(!ids.is_empty());
     for id in ids {
-      let life = self.backends[self.ids[&id]].spec.life();
-      self.returned.remove(life, self.now);
+      let life = self.backends[self.by_id[&id]].spec.life();
+      self.restored.record_removal(life, self.now);
       self.remove(&id);
-      self.out.push(Effect::Gone(id));
+      self.out.push(Effect::Expired(id));
     }
   }
 
   /// A server's entry is gone; around the store's silence that says little of the
   /// server, unless it was leaving.
   fn gone(&mut self, id: &str) {
-    let Some(key) = self.ids.get(id).copied() else {
+    let Some(key) = self.by_id.get(id).copied() else {
       return;
     };
     let backend = &mut self.backends[key];
@@ -133,14 +133,14 @@
       return;
     }
     let id = id.to_string();
-    match self.lapses.wait_ms(self.now) {
+    match self.expiry.remaining_ms(self.now) {
       Some(kept_ms) if !backend.is_leaving() => {
         backend.missing_since = Some(self.now);
         self.out.push(Effect::Missing { id, kept_ms });
       }
       _ => {
         let life = backend.spec.life();
-        self.returned.remove(life, self.now);
+        self.restored.record_removal(life, self.now);
         self.remove(&id);
         self.out.push(Effect::Removed(id));
       }
@@ -149,29 +149,31 @@
 
   /// A server that is gone keeps its place while requests run there.
   fn remove(&mut self, id: &str) {
-    let Some(key) = self.ids.get(id).copied() else {
+    let Some(key) = self.by_id.get(id).copied() else {
       return;
     };
     self.backends[key].spec.stage = Stage::Draining;
     if self.backends[key].running == 0 {
       self.drop_backend(key);
     } else {
-      self.ids.remove(id);
+      self.by_id.remove(id);
     }
   }
 
   fn drop_backend(&mut self, key: backend::Key) {
     if let Some(backend) = self.backends.remove(key) {
-      self.ids.remove(&backend.spec.id);
+      self.by_id.remove(&backend.spec.id);
     }
   }
 
   pub(crate) fn take_holdings(&mut self, holdings: Vec<Holding>, all: Option<(u32, u32)>) {
     let now = self.now;
-    self.early.retain(|_, (_, came)| now < *came + EARLY_MS);
+    self
+      .early_holdings
+      .retain(|_, (_, came)| now < *came + EARLY_MS);
     if let Some((group, groups)) = all {
       self
-        .early
+        .early_holdings
         .retain(|id, _| backend::group(id, groups) != group);
       for backend in self.backends.values_mut() {
         if backend::group(&backend.spec.id, groups) == group {
@@ -183,7 +185,7 @@
     let changed = !holdings.is_empty();
     self.updates += u64::from(changed || all.is_some());
     for holding in holdings {
-      match self.ids.get(&holding.id) {
+      match self.by_id.get(&holding.id) {
         Some(key) => {
           let known = self.backends[*key].spec.clone();
           if known.life().ends(holding.life()) {
@@ -192,16 +194,18 @@
           if holding.life().ends(known.life()) {
             self.set(reborn(&known, &holding));
           }
-          let key = self.ids[&holding.id];
+          let key = self.by_id[&holding.id];
           self.backends[key].update(holding, now);
         }
         None => {
-          self.early.insert(holding.id.clone(), (holding, now));
+          self
+            .early_holdings
+            .insert(holding.id.clone(), (holding, now));
         }
       }
     }
     if changed {
-      self.place_waiting();
+      self.dispatch_waiting();
     }
   }
 
--- a/src/measures.rs
+++ b/src/measures.rs
@@ -87,7 +87,7 @@
 
   /// A send has ended.
   pub fn send(&self, send: &Send) {
-    self.sends.add(1, &[label("end", send.end.word())]);
+    self.sends.add(1, &[label("end", send.end.as_str())]);
     match send.number {
       1 => self.wait.record(ms(send.waited_ms), &[]),
       _ => self.repeats.add(1, &[]),
--- a/src/planner.rs
+++ b/src/planner.rs
@@ -286,7 +286,7 @@
       let waited = wait(
         [
           Some((&self.socket, Interest::Read)),
-          Some((&self.hub.want_bell, Interest::Read)),
+          Some((&self.hub.report_waker, Interest::Read)),
           Some((&*self.bell, Interest::Read)),
         ],
         until,
@@ -297,7 +297,7 @@
       };
       self.woken = self.hub.now() > due + STALLED_MS;
       if wanted {
-        self.hub.want_bell.clear();
+        self.hub.report_waker.clear();
       }
       if finished {
         self.bell.clear();
@@ -447,7 +447,7 @@
       return Life::of(id, inventory.born);
     }
     let state = self.hub.state();
-    let known = state.ids.get(id);
+    let known = state.by_id.get(id);
     known.map_or(Life::of(id, 0), |key| state.backends[*key].spec.life())
   }
 
@@ -467,7 +467,7 @@
         "term" => record.term, "revision" => %revision);
     }
     if result.is_ok() {
-      self.hub.gates.contact.reach(Moment::now());
+      self.hub.gates.reachability.record_response(Moment::now());
       // Others learn of the renewal at once.
       group.plan.request_publish();
     }
@@ -650,7 +650,7 @@
     let mine = |id: &str| backend::group(id, groups) == group.number;
     if counts.0 != group.seen.0 {
       let specs: Vec<Spec> = state
-        .ids
+        .by_id
         .iter()
         .filter(|(id, _)| mine(id))
         .map(|(_, key)| state.backends[*key].effective_spec())
@@ -658,7 +658,7 @@
       group.plan.update_servers(deployment, specs);
     }
     if groups > 1 {
-      let others = state.ids.iter().filter(|(id, _)| !mine(id));
+      let others = state.by_id.iter().filter(|(id, _)| !mine(id));
       let others = others.map(|(id, key)| other(backend::group(id, groups), &state.backends[*key]));
       group.plan.update_other_servers(others.collect());
     }
--- a/src/quotas.rs
+++ b/src/quotas.rs
@@ -79,7 +79,7 @@
         self.uses_at = now + REPORT_MOST_MS;
         return;
       }
-      (state.uses(now), state.purse().ask_at(), limited, freed)
+      (state.uses(now), state.quotas().ask_at(), limited, freed)
     };
     let needed = uses.iter().any(|one| one.need > 0);
     if now < self.uses_at && !needed && !said && !freed {
@@ -208,7 +208,7 @@
     let sums = record.get(SUMS_FIELD);
     let sums = sums.and_then(|sums| serde_json::from_value::<Sums>(sums.clone()).ok());
     if let Some(sums) = sums {
-      self.hub.apply(Event::Used(sums.clone()), None);
+      self.hub.apply(Event::QuotaUsage(sums.clone()), None);
       self.known_sums = Some((now, sums));
     }
   }
--- a/src/relay/answer.rs
+++ b/src/relay/answer.rs
@@ -59,7 +59,7 @@
     self.event_ms = now;
     if self.first_ms.is_none() {
       self.first_ms = Some(now);
-      self.apply(Event::Began(self.ticket));
+      self.apply(Event::ResponseStarted(self.ticket));
     }
   }
 
--- a/src/relay/caller.rs
+++ b/src/relay/caller.rs
@@ -22,7 +22,7 @@
       info!(self.hub.log, "waiting"; "request" => &self.id,
         "route" => &self.incoming.route.name, "model" => self.model(),
         "why" => "no server can take it now",
-        "planner_age_ms" => self.hub.now().saturating_sub(self.hub.state().updated_at));
+        "planner_age_ms" => self.hub.now().saturating_sub(self.hub.state().planner_seen_at));
     }
     self.rest(mailbox, until)
   }
@@ -34,9 +34,9 @@
       // What a caller sends ahead is left in its socket.
       let listen = self.caller.input.is_empty();
       let caller = listen.then_some((&self.caller.stream as &dyn rustix::fd::AsFd, Interest::Read));
-      let [called, rung] = wait([caller, Some((&mailbox.bell, Interest::Read))], until)?;
+      let [called, rung] = wait([caller, Some((&mailbox.waker, Interest::Read))], until)?;
       if rung {
-        mailbox.bell.clear();
+        mailbox.waker.clear();
         return Ok(true);
       }
       if !called {
--- a/src/relay/mod.rs
+++ b/src/relay/mod.rs
@@ -11,7 +11,7 @@
   content,
   customer::Caller,
   demand::Model,
-  dispatch::{Ask, Attempt, End, Event},
+  dispatch::{Attempt, Descriptor, End, Event},
   http::{Framing, Request, Response},
   hub::{Directive, Hub, Mailbox},
   measures,
@@ -123,14 +123,14 @@
   let ticket = hub.ticket(mailbox);
   let content = content::Key::of(&incoming.head, &incoming.body);
   let pool = incoming.route.pool(xxh3_64(id.as_bytes()));
-  let ask = Ask {
+  let ask = Descriptor {
     ticket,
     id: id.clone(),
     route: incoming.route.clone(),
     pool: pool.unwrap_or_default().to_string(),
     model: model.clone(),
     affinity: affinity(header(dialect.prompt_parts), model.as_ref()),
-    until,
+    deadline: until,
     content,
     caller: incoming.caller,
   };
@@ -155,7 +155,7 @@
     then: if keep { Then::Keep } else { Then::Close },
   };
   hub.measures.request();
-  mailbox.bell.clear();
+  mailbox.waker.clear();
   mailbox.take();
   hub.apply(Event::Arrived(ask), Some(ticket));
   relay.run(mailbox);
@@ -194,7 +194,7 @@
         Some(Directive::Wait(until)) => match self.await_change(mailbox, until) {
           Ok(true) => mailbox.take().or(Some(Directive::Wait(until))),
           Ok(false) => {
-            self.apply(Event::Look(self.ticket));
+            self.apply(Event::Recheck(self.ticket));
             mailbox.take()
           }
           Err(_) => return self.leave(),
@@ -227,7 +227,7 @@
     info!(self.hub.log, "caller left"; "request" => &self.id, "phase" => "waiting",
       "waited_ms" => self.hub.now() - self.incoming.arrived);
     self.then = Then::Close;
-    self.apply(Event::Left(self.ticket));
+    self.apply(Event::CallerGone(self.ticket));
   }
 
   fn model(&self) -> Option<&str> {
--- a/src/relay/send.rs
+++ b/src/relay/send.rs
@@ -63,10 +63,10 @@
       return outcome(End::Unsent, "time over while the connection came up");
     }
     // More may have become known of the server while the connection came up.
-    if let Some(end) = self.hub.state().overtaken(attempt) {
+    if let Some(end) = self.hub.state().abort_reason(attempt) {
       return outcome(end, "overtaken by what became known of the server");
     }
-    if let Some(end) = self.hub.bars(self.incoming.caller.as_ref()) {
+    if let Some(end) = self.hub.key_rejection(self.incoming.caller.as_ref()) {
       return outcome(end, "key taken away, or not surely known");
     }
     self.events.discard_partial();
@@ -282,7 +282,7 @@
       }
     };
     let ticket = self.ticket;
-    self.apply(Event::Named { ticket, rate });
+    self.apply(Event::LimitAnnounced { ticket, rate });
   }
 
   /// Takes up what the head of an answer says of its server.
@@ -325,7 +325,7 @@
     };
     self.hear_head(&head, attempt);
     if attempt.trial && self.said.retry_after.is_none() {
-      self.apply(Event::Took(attempt.life));
+      self.apply(Event::TrialAccepted(attempt.life));
     }
     self.hear_limit(head.status, attempt);
     let dialect = &self.hub.dialect;
--- a/src/retry.rs
+++ b/src/retry.rs
@@ -27,13 +27,13 @@
 
 impl Budget {
   /// A request for the pool arrived.
-  pub fn request(&mut self, now: u64, bound: &Bound) {
+  pub fn record_request(&mut self, now: u64, bound: &Bound) {
     self.trim(now, bound);
     self.requests.push_back(now);
   }
 
   /// Whether a repeat is allowed now; one that is counts.
-  pub fn repeat(&mut self, now: u64, bound: &Bound, instances: usize) -> bool {
+  pub fn try_retry(&mut self, now: u64, bound: &Bound, instances: usize) -> bool {
     self.trim(now, bound);
     let own = bound.ratio * self.requests.len() as f64;
     let shared = bound.slack / instances.max(1) as f64;
--- a/src/returned.rs
+++ b/src/returned.rs
@@ -14,25 +14,25 @@
 
 /// Entries that were removed lately, and when the store last came back from a copy.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Returned {
+pub(crate) struct Restored {
   removed: BTreeMap<Life, u64>,
   at: Option<u64>,
 }
 
-impl Returned {
+impl Restored {
   /// A server's entry was removed.
-  pub(crate) fn remove(&mut self, server: Life, now: u64) {
+  pub(crate) fn record_removal(&mut self, server: Life, now: u64) {
     self.removed.retain(|_, at| now < *at + COPY_MS);
     self.removed.insert(server, now);
   }
 
   /// The store came back from a copy.
-  pub(crate) fn begin(&mut self, now: u64) {
+  pub(crate) fn record_restore(&mut self, now: u64) {
     self.at = Some(now);
   }
 
   /// Until when an entry of a whole list does not count, ms; 0: it does.
-  pub(crate) fn unsure_until(&self, server: Life, now: u64) -> u64 {
+  pub(crate) fn unconfirmed_until(&self, server: Life, now: u64) -> u64 {
     let until = self.at.map_or(0, |at| at + REMOVED_MS);
     match now < until && self.removed.contains_key(&server) {
       true => until,
--- a/src/router.rs
+++ b/src/router.rs
@@ -54,11 +54,11 @@
   /// Binds the ports and starts the feeds.
   pub fn spawn(settings: &Settings, edge: Edge, log: Logger) -> io::Result<Self> {
     let routing = settings.routing.clone().unwrap_or_default();
-    let state = State::open(&settings.zone, routing.bound(), rand::random());
-    let hub = Hub::open(state, edge.dialect, log)?;
-    hub.state().bound_quotas(routing.quota_bound());
+    let state = State::new(&settings.zone, routing.bound(), rand::random());
+    let hub = Hub::new(state, edge.dialect, log)?;
+    hub.state().set_quota_bound(routing.quota_bound());
     if routing.revoke_ms > 0 {
-      hub.bound_keys(Duration::from_millis(
+      hub.set_max_key_age(Duration::from_millis(
         routing.revoke_ms * KEY_AGE_PERCENT / 100,
       ));
     }
@@ -88,7 +88,7 @@
         let bound = settings.routing.unwrap_or_default().bound();
         info!(self.hub.log, "settings read again"; "retry_ratio" => bound.ratio,
           "retry_slack" => bound.slack, "retry_window_ms" => bound.window_ms);
-        self.hub.state().bound = bound;
+        self.hub.state().retry_bound = bound;
       }
       Err(error) => {
         warn!(self.hub.log, "settings are faulty, the last good ones stay in force";
@@ -199,7 +199,7 @@
               warn!(hub.log, "entry is faulty and names no server"; "server" => &object.name,
               "revision" => %object.revision, "fault" => fault);
             }
-            Change::Faulty(object.name.clone())
+            Change::Invalid(object.name.clone())
           }
         };
         let changes = match change {
@@ -207,7 +207,7 @@
           feed::Event::Some(objects) => objects
             .iter()
             .map(|(object, removed)| match removed {
-              true => Change::Gone(object.name.clone()),
+              true => Change::Removed(object.name.clone()),
               false => decode(object),
             })
             .collect(),
@@ -221,7 +221,7 @@
             return false;
           }
           feed::Event::Returned => {
-            hub.apply(Event::StoreReturned, None);
+            hub.apply(Event::StoreRestored, None);
             return false;
           }
           feed::Event::Current => {
@@ -231,7 +231,7 @@
         };
         let matters = changes.iter().filter(|change| note(&hub, change)).count() > 0;
         hub.apply(Event::Servers(changes), None);
-        let known: Vec<backend::Key> = hub.state().ids.values().copied().collect();
+        let known: Vec<backend::Key> = hub.state().by_id.values().copied().collect();
         hub.pool.retain(|key| known.contains(&key));
         matters
       },
@@ -248,7 +248,7 @@
   let state = hub.state();
   match (edge.server)(object) {
     Ok(spec) => !known(&state, &spec),
-    Err(_) => state.ids.contains_key(&object.name),
+    Err(_) => state.by_id.contains_key(&object.name),
   }
 }
 
@@ -290,7 +290,7 @@
   match change {
     Change::All(specs) => {
       info!(hub.log, "servers read"; "count" => specs.len());
-      specs.len() != state.ids.len() || !specs.iter().all(|spec| known(&state, spec))
+      specs.len() != state.by_id.len() || !specs.iter().all(|spec| known(&state, spec))
     }
     Change::Set(spec) => {
       if known(&state, spec) {
@@ -300,14 +300,14 @@
         "stage" => format!("{:?}", spec.stage), "address" => %spec.address);
       true
     }
-    Change::Gone(_) => true,
-    Change::Faulty(id) => state.ids.contains_key(id),
+    Change::Removed(_) => true,
+    Change::Invalid(id) => state.by_id.contains_key(id),
   }
 }
 
 /// Whether a server is known as it states itself, its holdings apart.
 fn known(state: &State, spec: &Spec) -> bool {
-  let Some(key) = state.ids.get(&spec.id) else {
+  let Some(key) = state.by_id.get(&spec.id) else {
     return false;
   };
   let backend = &state.backends[*key];
--- a/src/statement/exchange.rs
+++ b/src/statement/exchange.rs
@@ -135,7 +135,13 @@
       Err(error) => warn!(self.log, "statement not understood"; "server" => id, "error" => error),
     }
     match said.rest_ms() {
-      Ok(Some(rest_ms)) => self.apply(Event::Rest { server, rest_ms }, None),
+      Ok(Some(rest_ms)) => self.apply(
+        Event::Backoff {
+          server,
+          backoff_ms: rest_ms,
+        },
+        None,
+      ),
       Ok(None) => {}
       Err(error) => warn!(self.log, "statement not understood"; "server" => id, "error" => error),
     }
--- a/src/statement/leaving.rs
+++ b/src/statement/leaving.rs
@@ -82,7 +82,7 @@
     }
     // The planner counts its models as gone.
     self.changes += 1;
-    self.place_waiting();
+    self.dispatch_waiting();
   }
 
   /// A server's entry says that it leaves.
--- a/src/statement/rest.rs
+++ b/src/statement/rest.rs
@@ -8,7 +8,7 @@
 use crate::{
   backend::Backend,
   cold::give_up_at,
-  dispatch::{Effect, LOOK_MS, Request, State},
+  dispatch::{Effect, RECHECK_MS, Request, State},
   life::Life,
   verdict::Verdict,
 };
@@ -120,55 +120,58 @@
 impl State {
   /// A server asks this instance for so much rest, ms.
   pub(crate) fn hear_rest(&mut self, server: Life, rest_ms: u64) {
-    self.rests.ask(server, self.now, rest_ms);
+    self.backoffs.ask(server, self.now, rest_ms);
     let known = self.backends.values();
     let known = known.map(|backend| &backend.spec);
     let id = known
       .filter(|spec| spec.life() == server)
       .map(|spec| spec.id.clone());
     let id = id.last().unwrap_or_default();
-    self.out.push(Effect::Rest { id, rest_ms });
-    self.place_waiting();
+    self.out.push(Effect::Backoff {
+      id,
+      backoff_ms: rest_ms,
+    });
+    self.dispatch_waiting();
   }
 
   /// A server took a request after its rest.
   pub(crate) fn took(&mut self, server: Life) {
-    self.rests.take(server, self.now);
-    self.place_waiting();
+    self.backoffs.take(server, self.now);
+    self.dispatch_waiting();
   }
 
   /// Servers that rest, for the planner.
   pub fn resting(&self, now: u64) -> Vec<Life> {
-    self.rests.resting(now).collect()
+    self.backoffs.resting(now).collect()
   }
 
   /// Whether a server takes requests, as far as it asked for rest.
   pub(crate) fn is_open(&self, backend: &Backend) -> bool {
-    let open = |life| self.rests.closed_until(life, self.now).is_none();
-    self.rests.is_empty() || open(backend.spec.life())
+    let open = |life| self.backoffs.closed_until(life, self.now).is_none();
+    self.backoffs.is_empty() || open(backend.spec.life())
   }
 
   /// Whether a server's rest lasts.
   pub(crate) fn rests(&self, backend: &Backend) -> bool {
-    self.rests.lasts(backend.spec.life(), self.now)
+    self.backoffs.lasts(backend.spec.life(), self.now)
   }
 
   /// For a request whose servers all want rest for longer than its caller waits: after how long it
   /// should come back, ms. One that has begun waits: nothing else could go on with it.
   pub(crate) fn after_rest_ms(&self, request: &Request) -> Option<u64> {
-    if self.rests.is_empty() || request.verdict != Verdict::NotRun {
+    if self.backoffs.is_empty() || request.verdict != Verdict::NotRun {
       return None;
     }
     let ends = self
       .servers_of(request)
-      .map(|backend| self.rests.closed_until(backend.spec.life(), self.now));
+      .map(|backend| self.backoffs.closed_until(backend.spec.life(), self.now));
     let ends: Option<Vec<u64>> = ends.collect();
     let end = ends?.into_iter().min()?;
     let ready = self.ready_elsewhere(request);
     let soonest = ready.map_or(end, |ready| ready.min(end));
     // Others may try the server out first; one that waits already was told that it has time.
-    let new = request.waiting == Some(self.now);
-    let margin = if new { TRIAL_MS + LOOK_MS } else { 0 };
+    let new = request.waiting_since == Some(self.now);
+    let margin = if new { TRIAL_MS + RECHECK_MS } else { 0 };
     let in_time = soonest.saturating_add(margin) <= give_up_at(request);
     let after = soonest.saturating_sub(self.now).saturating_add(MARGIN_MS);
     (!in_time).then_some(after)
--- a/src/strain.rs
+++ b/src/strain.rs
@@ -98,8 +98,8 @@
     let Some(request) = self.requests.get_mut(&ticket) else {
       return;
     };
-    request.began = true;
-    let objective_ms = request.ask.route.objective_ms.max(1) as f64;
+    request.response_started = true;
+    let objective_ms = request.descriptor.route.objective_ms.max(1) as f64;
     let part_of_objective = self.now.saturating_sub(request.sent) as f64 / objective_ms;
     self.record_slowness(ticket, part_of_objective.min(MAX_SLOWNESS));
   }
@@ -110,7 +110,11 @@
   }
 
   fn record_slowness(&mut self, ticket: Ticket, part_of_objective: f64) {
-    let Some(descriptor) = self.requests.get(&ticket).map(|request| &request.ask) else {
+    let Some(descriptor) = self
+      .requests
+      .get(&ticket)
+      .map(|request| &request.descriptor)
+    else {
       return;
     };
     let Some(model) = &descriptor.model else {
--- a/tests/clock.rs
+++ b/tests/clock.rs
@@ -75,8 +75,8 @@
     slack: 80.0,
     window_ms: 10_000,
   };
-  let state = State::open("a", bound, 1);
-  Hub::open(state, Dialect::DEFAULT, Logger::root(Discard, o!())).unwrap()
+  let state = State::new("a", bound, 1);
+  Hub::new(state, Dialect::DEFAULT, Logger::root(Discard, o!())).unwrap()
 }
 
 #[test]
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -6,7 +6,7 @@
   backend::{Holding, Spec},
   demand::Model,
   deployment::{Checkpoint, Engine},
-  dispatch::{Ask, Change, Effect, Event, State},
+  dispatch::{Change, Descriptor, Effect, Event, State},
   refusal::Reason,
   request::Ticket,
   route::{Repeat, Route, Stream},
@@ -67,7 +67,7 @@
   };
   let told = Event::Updated {
     holdings: vec![holding],
-    all: None,
+    group: None,
     loads: None,
     instances: 3,
   };
@@ -75,14 +75,14 @@
 }
 
 fn ask(state: &mut State, now: u64, ticket: u64, model: &str) -> Vec<Effect> {
-  let ask = Ask {
+  let ask = Descriptor {
     ticket: Ticket(ticket),
     id: ticket.to_string(),
     route: route(),
     pool: "pool".into(),
     model: Some(Model::parse(model)),
     affinity: 0,
-    until: now + 15_000,
+    deadline: now + 15_000,
     content: Default::default(),
     caller: None,
   };
@@ -113,7 +113,10 @@
 fn what_a_refused_caller_wants_is_demand_until_it_is_back() {
   let mut state = state();
   let effects = ask(&mut state, 100, 1, "far");
-  assert!(effects.contains(&Effect::Want), "the planner hears at once");
+  assert!(
+    effects.contains(&Effect::ReportDemand),
+    "the planner hears at once"
+  );
   let after = refused(&effects).unwrap().retry_after.unwrap();
   let demand = state.demand(100 + after);
   assert_eq!((demand.len(), demand[0].waiting), (1, 1));
@@ -144,7 +147,7 @@
     now += 100;
     assert!(now < 100 + PATIENCE, "its caller has left");
     let mut effects = tell(&mut state, now, None, &[]);
-    effects.extend(state.reduce(now, Event::Look(Ticket(1))));
+    effects.extend(state.reduce(now, Event::Recheck(Ticket(1))));
     if let Some(refusal) = refused(&effects) {
       break refusal;
     }
--- a/tests/copies.rs
+++ b/tests/copies.rs
@@ -14,7 +14,7 @@
   content,
   crash::{Suspected, permit},
   deployment::Engine,
-  dispatch::{Ask, Change, Effect, End, Event, State},
+  dispatch::{Change, Descriptor, Effect, End, Event, State},
   quota::Accounts,
   request::Ticket,
   route::Repeat,
@@ -84,7 +84,7 @@
       index,
       Event::Updated {
         holdings: Vec::new(),
-        all: None,
+        group: None,
         loads: None,
         instances,
       },
@@ -107,14 +107,14 @@
 
   fn arrive(&mut self, index: usize, ticket: u64, content: content::Key) {
     let until = self.now + 12_000;
-    let ask = Ask {
+    let ask = Descriptor {
       ticket: Ticket(ticket),
       id: ticket.to_string(),
       route: Arc::new(requests::route(Repeat::Always, None, 3)),
       pool: "pool".into(),
       model: None,
       affinity: 0,
-      until,
+      deadline: until,
       content,
       caller: None,
     };
@@ -138,7 +138,7 @@
         && at <= self.now
       {
         self.looks.pop_first();
-        self.apply(index, Event::Look(Ticket(ticket)));
+        self.apply(index, Event::Recheck(Ticket(ticket)));
       }
       if self.answers && self.now.is_multiple_of(10) {
         for index in 0..self.states.len() {
@@ -260,7 +260,7 @@
     fleet.answers = false;
     for index in 0..7 {
       // The holder's last word before it went: no leave is taken.
-      fleet.apply(index, Event::Used(Vec::new()));
+      fleet.apply(index, Event::QuotaUsage(Vec::new()));
     }
     fleet.back("i-0164a1c60a");
     let before = fleet.sends.len();
--- a/tests/dispatch.rs
+++ b/tests/dispatch.rs
@@ -4,10 +4,10 @@
 
 use bendsaddle::{
   backend::{Holding, Spec, Stage, short_hash},
-  contact::Silence,
+  contact::Outage,
   demand::Model,
   deployment::{Deployment, Engine},
-  dispatch::{Ask, Change, Effect, End, Event, State},
+  dispatch::{Change, Descriptor, Effect, End, Event, State},
   refusal::Reason,
   request::Ticket,
   retry::Budget,
@@ -40,14 +40,14 @@
 }
 
 fn ask(ticket: u64, route: &Arc<Route>, model: Option<&str>) -> Event {
-  Event::Arrived(Ask {
+  Event::Arrived(Descriptor {
     ticket: Ticket(ticket),
     id: ticket.to_string(),
     route: route.clone(),
     pool: "pool".into(),
     model: model.map(Model::parse),
     affinity: 0,
-    until: 5_000,
+    deadline: 5_000,
     content: Default::default(),
     caller: None,
   })
@@ -116,7 +116,7 @@
   let second = sent(&state.reduce(2, ended(1, End::Full))).unwrap();
   assert_ne!(first, second);
   state.reduce(3, ended(1, End::Unreached));
-  let effects = state.reduce(5_000, Event::Look(Ticket(1)));
+  let effects = state.reduce(5_000, Event::Recheck(Ticket(1)));
   let refusal = refused(&effects).unwrap();
   assert_eq!(refusal.verdict, Verdict::NotRun);
   assert!(refusal.retry_after.is_some());
@@ -129,7 +129,7 @@
   state.reduce(1, ask(1, &route, None));
   state.reduce(2, ended(1, End::Broken));
   state.reduce(3, ended(1, End::Full));
-  let effects = state.reduce(5_000, Event::Look(Ticket(1)));
+  let effects = state.reduce(5_000, Event::Recheck(Ticket(1)));
   assert_eq!(refused(&effects).unwrap().verdict, Verdict::MayHaveRun);
 }
 
@@ -138,7 +138,7 @@
   let route = route(Repeat::Always, None, 2);
   let mut state = state(vec![spec("one", &["warm"])]);
   let effects = state.reduce(1, ask(1, &route, Some("cold/a1")));
-  assert!(effects.contains(&Effect::Want), "{effects:?}");
+  assert!(effects.contains(&Effect::ReportDemand), "{effects:?}");
   assert_eq!(sent(&effects), None);
   let demand = state.demand(101);
   assert_eq!((demand[0].waiting, demand[0].age_ms), (1, 100));
@@ -151,7 +151,7 @@
   };
   let told = Event::Updated {
     holdings: vec![holding],
-    all: None,
+    group: None,
     loads: None,
     instances: 3,
   };
@@ -165,7 +165,7 @@
   let mut state = state(vec![spec("one", &["warm"])]);
   let told = Event::Updated {
     holdings: Vec::new(),
-    all: None,
+    group: None,
     loads: None,
     instances: 3,
   };
@@ -205,7 +205,7 @@
   };
   let told = Event::Updated {
     holdings: vec![holding],
-    all: None,
+    group: None,
     loads: None,
     instances: 3,
   };
@@ -223,7 +223,7 @@
   let mut leaving = spec("one", &[]);
   leaving.stage = Stage::Draining;
   state.reduce(1, Event::Servers(vec![Change::Set(leaving)]));
-  state.reduce(1, Event::Servers(vec![Change::Gone("two".into())]));
+  state.reduce(1, Event::Servers(vec![Change::Removed("two".into())]));
   for ticket in 0..20 {
     let effects = state.reduce(2, ask(ticket, &route, None));
     assert_eq!(sent(&effects).as_deref(), Some("three"));
@@ -254,8 +254,8 @@
   let mut state = state(Vec::new());
   state.reduce(1, ask(1, &route, None));
   state.reduce(2, Event::Stopping(500, 1_000));
-  assert_eq!(refused(&state.reduce(999, Event::Look(Ticket(1)))), None);
-  let refusal = refused(&state.reduce(1_000, Event::Look(Ticket(1)))).unwrap();
+  assert_eq!(refused(&state.reduce(999, Event::Recheck(Ticket(1)))), None);
+  let refusal = refused(&state.reduce(1_000, Event::Recheck(Ticket(1)))).unwrap();
   assert_eq!(refusal.verdict, Verdict::NotRun);
   assert_eq!(refusal.reason, Reason::Stopping);
 }
@@ -282,9 +282,9 @@
   for now in 0..1_000u64 {
     for budget in &mut budgets {
       if now % 10 == 0 {
-        budget.request(now, &BOUND);
+        budget.record_request(now, &BOUND);
       }
-      repeats += u32::from(budget.repeat(now, &BOUND, instances));
+      repeats += u32::from(budget.try_retry(now, &BOUND, instances));
     }
   }
   let allowed = BOUND.ratio * 400.0 + BOUND.slack;
@@ -311,12 +311,12 @@
 }
 
 /// The store is back just now, after so long without an answer to anybody, ms.
-fn silence(length_ms: u64, over_ms: u64, failed_ms: u64) -> Silence {
+fn silence(length_ms: u64, over_ms: u64, failed_ms: u64) -> Outage {
   let [length, over, failed] = [length_ms, over_ms, failed_ms].map(Duration::from_millis);
-  Silence {
+  Outage {
     length,
-    over,
-    failed,
+    since_recovery: over,
+    since_failure: failed,
   }
 }
 
@@ -329,7 +329,7 @@
   let mut state = state(vec![spec("s", &[])]);
   state.reduce(50, Event::StoreLost);
   state.reduce(100, back(silent_ms));
-  let effects = state.reduce(100, Event::Servers(vec![Change::Gone("s".into())]));
+  let effects = state.reduce(100, Event::Servers(vec![Change::Removed("s".into())]));
   (state, effects)
 }
 
@@ -344,7 +344,7 @@
   state.reduce(1_600, Event::Servers(vec![Change::Set(spec("s", &[]))]));
   let effects = state.reduce(4_100, ask(2, &route, None));
   assert_eq!(sent(&effects), Some("s".into()));
-  assert!(!effects.contains(&Effect::Gone("s".into())));
+  assert!(!effects.contains(&Effect::Expired("s".into())));
 }
 
 #[test]
@@ -353,7 +353,10 @@
   let route = route(Repeat::Always, None, 2);
   let changes = state.changes;
   let effects = state.reduce(2_100, ask(1, &route, None));
-  assert!(effects.contains(&Effect::Gone("s".into())), "{effects:?}");
+  assert!(
+    effects.contains(&Effect::Expired("s".into())),
+    "{effects:?}"
+  );
   assert_eq!(sent(&effects), None);
   assert!(state.changes > changes, "the planner is not told");
 }
@@ -372,8 +375,8 @@
   let mut state = state(vec![leaving]);
   state.reduce(50, Event::StoreLost);
   state.reduce(100, back(4_000));
-  state.reduce(100, Event::Servers(vec![Change::Gone("s".into())]));
-  assert!(state.ids.is_empty());
+  state.reduce(100, Event::Servers(vec![Change::Removed("s".into())]));
+  assert!(state.by_id.is_empty());
 }
 
 #[test]
@@ -410,7 +413,7 @@
     let some = loads.into_iter().filter(|(_, load)| *load > 0);
     Event::Updated {
       holdings: Vec::new(),
-      all: None,
+      group: None,
       loads: Some(some.map(|(id, load)| (short_hash(id), load)).collect()),
       instances: 3,
     }
@@ -429,9 +432,9 @@
   let mut state = state(vec![spec("s", &["m"])]);
   assert!(sent(&state.reduce(1, ask(1, &route, Some("m")))).is_some());
   // Its thread has not seen the decision, and nothing went out.
-  state.reduce(2, Event::Left(Ticket(1)));
+  state.reduce(2, Event::CallerGone(Ticket(1)));
   assert!(state.running.is_empty(), "{:?}", state.running);
-  assert_eq!(state.backends[state.ids["s"]].running, 0);
+  assert_eq!(state.backends[state.by_id["s"]].running, 0);
 }
 
 /// The planner's word that server "s" holds a model.
@@ -444,7 +447,7 @@
       leaving: Vec::new(),
       coming: None,
     }],
-    all: all.then_some((0, 1)),
+    group: all.then_some((0, 1)),
     loads: None,
     instances: 3,
   }
@@ -493,7 +496,7 @@
   let end = End::Replaced;
   let ticket = Ticket(1);
   state.reduce(2, Event::Ended { ticket, end });
-  assert_eq!(state.backends[state.ids["s"]].spec.stage, Stage::Ready);
+  assert_eq!(state.backends[state.by_id["s"]].spec.stage, Stage::Ready);
   assert_eq!(sent(&state.reduce(3, ask(2, &route, Some("m")))), None);
 }
 
@@ -505,7 +508,7 @@
   state.reduce(50, Event::StoreLost);
   let silence = silence(4_000, 300, 900);
   state.reduce(1_000, Event::StoreBack(silence));
-  state.reduce(1_000, Event::Servers(vec![Change::Gone("s".into())]));
+  state.reduce(1_000, Event::Servers(vec![Change::Removed("s".into())]));
   let route = route(Repeat::Always, None, 2);
   let effects = state.reduce(2_600, ask(1, &route, None));
   assert_eq!(sent(&effects), Some("s".into()));
@@ -521,7 +524,7 @@
   state.reduce(50, Event::StoreLost);
   let silence = silence(4_000, 0, 2_500);
   state.reduce(2_000, Event::StoreBack(silence));
-  state.reduce(2_000, Event::Servers(vec![Change::Gone("s".into())]));
+  state.reduce(2_000, Event::Servers(vec![Change::Removed("s".into())]));
   let route = route(Repeat::Always, None, 2);
   let effects = state.reduce(2_200, ask(1, &route, None));
   assert_eq!(sent(&effects), Some("s".into()));
@@ -534,15 +537,15 @@
   let mut state = state(vec![spec("s", &[]), spec("t", &[])]);
   state.reduce(50, Event::StoreLost);
   state.reduce(100, back(4_000));
-  state.reduce(100, Event::Servers(vec![Change::Gone("s".into())]));
+  state.reduce(100, Event::Servers(vec![Change::Removed("s".into())]));
   state.reduce(100, Event::StoreCurrent);
-  assert!(state.ids.contains_key("s"), "it may come back");
-  let effects = state.reduce(300, Event::Servers(vec![Change::Gone("t".into())]));
+  assert!(state.by_id.contains_key("s"), "it may come back");
+  let effects = state.reduce(300, Event::Servers(vec![Change::Removed("t".into())]));
   assert!(
     effects.contains(&Effect::Removed("t".into())),
     "{effects:?}"
   );
-  assert!(!state.ids.contains_key("t"));
+  assert!(!state.by_id.contains_key("t"));
 }
 
 // A list that is read again while the entry is still missing.
@@ -562,7 +565,10 @@
 fn an_entry_that_is_back_as_its_time_ends_is_kept() {
   let (mut state, _) = lapsed(4_000);
   let effects = state.reduce(2_200, Event::Servers(vec![Change::Set(spec("s", &[]))]));
-  assert!(!effects.contains(&Effect::Gone("s".into())), "{effects:?}");
+  assert!(
+    !effects.contains(&Effect::Expired("s".into())),
+    "{effects:?}"
+  );
   let route = route(Repeat::Always, None, 2);
   let effects = state.reduce(2_300, ask(1, &route, None));
   assert_eq!(sent(&effects), Some("s".into()));
--- a/tests/entry.rs
+++ b/tests/entry.rs
@@ -26,14 +26,14 @@
     slack: 80.0,
     window_ms: 10_000,
   };
-  let state = State::open("a", bound, 1);
-  Hub::open(state, Dialect::DEFAULT, Logger::root(Discard, o!())).unwrap()
+  let state = State::new("a", bound, 1);
+  Hub::new(state, Dialect::DEFAULT, Logger::root(Discard, o!())).unwrap()
 }
 
 fn deploy(hub: &Hub, version: u64, body_bytes: usize, idle_time: Duration) {
   let bounds = Bounds {
     body_bytes,
-    idle_time,
+    idle_timeout: idle_time,
     ..Bounds::default()
   };
   let deployment = Deployment {
--- a/tests/fleet_limit/mod.rs
+++ b/tests/fleet_limit/mod.rs
@@ -4,7 +4,7 @@
 use bendsaddle::{
   backend::Spec,
   deployment::{Deployment, Pool},
-  dispatch::{Ask, Attempt, Change, Effect, End, Event, State},
+  dispatch::{Attempt, Change, Descriptor, Effect, End, Event, State},
   life::Life,
   quota::{Accounts, Grant, Sums, Use},
   refusal::{Reason, Refusal},
@@ -208,7 +208,7 @@
       slack: 50.0,
       window_ms: 10_000,
     };
-    let mut state = State::open("a", bound, self.rng.random());
+    let mut state = State::new("a", bound, self.rng.random());
     let deployment = Deployment {
       version: 1,
       pools: BTreeMap::from([("pool".into(), Pool::default())]),
@@ -236,7 +236,7 @@
   fn count(&self, now: u64, instance: &mut Instance) {
     let updated = Event::Updated {
       holdings: Vec::new(),
-      all: None,
+      group: None,
       loads: None,
       instances: self.story.instances,
     };
@@ -337,7 +337,7 @@
           self.post(until.max(now + 1), Mail::Look(index, process, ticket));
         }
         Effect::Refuse(ticket, refusal) => self.refused(now, ticket, &refusal),
-        Effect::Need | Effect::Limited { .. } => self.instances[index].report_at = now,
+        Effect::RequestQuota | Effect::LimitChanged { .. } => self.instances[index].report_at = now,
         _ => {}
       }
     }
@@ -385,7 +385,7 @@
         }
       }
       Mail::Limits(index, limits) => self.apply(now, index, Event::Statements(limits)),
-      Mail::Sums(index, sums) => self.apply(now, index, Event::Used(sums)),
+      Mail::Sums(index, sums) => self.apply(now, index, Event::QuotaUsage(sums)),
       Mail::Reaches(index, process, attempt) => self.reaches(now, index, process, attempt),
       Mail::Named(index, process, ticket, rate) => {
         let alive = self.instances[index].process == process;
@@ -393,7 +393,7 @@
           if rate.is_some() {
             self.instances[index].told.get_or_insert(now);
           }
-          self.apply(now, index, Event::Named { ticket, rate });
+          self.apply(now, index, Event::LimitAnnounced { ticket, rate });
         }
       }
       Mail::Ended(index, process, ticket, end) => {
@@ -404,7 +404,7 @@
       }
       Mail::Look(index, process, ticket) => {
         if self.instances[index].process == process {
-          self.apply(now, index, Event::Look(ticket));
+          self.apply(now, index, Event::Recheck(ticket));
         }
       }
     }
@@ -476,14 +476,14 @@
       }
       self.tickets += 1;
       self.arrived.insert(self.tickets, now);
-      let ask = Ask {
+      let ask = Descriptor {
         ticket: Ticket(self.tickets),
         id: self.tickets.to_string(),
         route: route(),
         pool: "pool".into(),
         model: None,
         affinity: 0,
-        until: now + 5_000,
+        deadline: now + 5_000,
         content: Default::default(),
         caller: None,
       };
@@ -504,7 +504,7 @@
       if !self.sums.1.is_empty() {
         let sums = self.sums.1.clone();
         self.spread(now, |index| Mail::Sums(index, sums.clone()));
-        self.apply(now, holder, Event::Used(self.sums.1.clone()));
+        self.apply(now, holder, Event::QuotaUsage(self.sums.1.clone()));
       }
     }
     let limits = match now.is_multiple_of(LISTS_MS) {
@@ -543,7 +543,7 @@
     if !due && !said {
       return;
     }
-    let ask_at = instance.state.purse().ask_at();
+    let ask_at = instance.state.quotas().ask_at();
     let uses = instance.state.uses(now);
     let needed = uses.iter().any(|one| one.need > 0);
     if needed && now < ask_at && !said {
@@ -552,7 +552,7 @@
     }
     let pause = (self.story.instances as u64 * 3).clamp(500, 1_000);
     instance.report_at = match needed {
-      true => instance.state.purse().ask_at().max(now + 1),
+      true => instance.state.quotas().ask_at().max(now + 1),
       false => now + pause,
     };
     let process = instance.process;
--- a/tests/hub.rs
+++ b/tests/hub.rs
@@ -5,7 +5,7 @@
   demand::Model,
   deployment::{Deployment, Engine, Pool},
   dialect::Dialect,
-  dispatch::{Ask, Change, End, Event, State},
+  dispatch::{Change, Descriptor, End, Event, State},
   hub::{Directive, Hub, Mailbox},
   request::Ticket,
   retry::Bound,
@@ -54,8 +54,8 @@
     slack: 80.0,
     window_ms: 10_000,
   };
-  let state = State::open("a", bound, 1);
-  let hub = Hub::open(state, Dialect::DEFAULT, Logger::root(Discard, o!())).unwrap();
+  let state = State::new("a", bound, 1);
+  let hub = Hub::new(state, Dialect::DEFAULT, Logger::root(Discard, o!())).unwrap();
   let pool = Pool {
     engine: Some(Arc::new(Engine {
       slots: 8,
@@ -95,7 +95,7 @@
       leaving: Vec::new(),
       coming: None,
     }],
-    all: None,
+    group: None,
     loads: None,
     instances: 1,
   }
@@ -105,12 +105,12 @@
 fn decided(hub: &Hub, mailbox: &Mailbox, ticket: Ticket) -> bool {
   let mut directive = mailbox.take();
   while let Some(Directive::Wait(until)) = directive {
-    let [rung] = wait([Some((&mailbox.bell, Interest::Read))], hub.instant(until)).unwrap();
+    let [rung] = wait([Some((&mailbox.waker, Interest::Read))], hub.instant(until)).unwrap();
     if rung {
-      mailbox.bell.clear();
+      mailbox.waker.clear();
       directive = mailbox.take().or(directive);
     } else {
-      hub.apply(Event::Look(ticket), Some(ticket));
+      hub.apply(Event::Recheck(ticket), Some(ticket));
       directive = mailbox.take();
     }
   }
@@ -119,16 +119,16 @@
 
 fn ask(hub: &Hub, mailbox: &Arc<Mailbox>, route: &Arc<Route>) {
   let ticket = hub.ticket(mailbox);
-  mailbox.bell.clear();
+  mailbox.waker.clear();
   mailbox.take();
-  let ask = Ask {
+  let ask = Descriptor {
     ticket,
     id: "id".into(),
     route: route.clone(),
     pool: "pool".into(),
     model: Some(Model::parse("m")),
     affinity: 0,
-    until: PATIENCE_MS,
+    deadline: PATIENCE_MS,
     content: Default::default(),
     caller: None,
   };
@@ -157,7 +157,7 @@
     .map(|_| {
       let (hub, route) = (hub.clone(), route.clone());
       thread::spawn(move || {
-        let mailbox = Arc::new(Mailbox::open().unwrap());
+        let mailbox = Arc::new(Mailbox::new().unwrap());
         (0..REQUESTS).for_each(|_| ask(&hub, &mailbox, &route));
       })
     })
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -7,7 +7,7 @@
 use bendsaddle::{
   backend::Spec,
   deployment::Engine,
-  dispatch::{Ask, Change, Effect, End, Event, State},
+  dispatch::{Change, Descriptor, Effect, End, Event, State},
   life::Life,
   limit::{Limits, allowance, parse},
   refusal::Reason,
@@ -309,14 +309,14 @@
     resumable: true,
     gap_ms: 300,
   };
-  Event::Arrived(Ask {
+  Event::Arrived(Descriptor {
     ticket: Ticket(ticket),
     id: ticket.to_string(),
     route: Arc::new(requests::route(Repeat::Never, Some(stream), 3)),
     pool: "pool".into(),
     model: Some(bendsaddle::demand::Model::parse("m")),
     affinity: 0,
-    until: 5_000,
+    deadline: 5_000,
     content: Default::default(),
     caller: None,
   })
@@ -331,7 +331,7 @@
 
 fn named(ticket: u64, rate: Option<f64>) -> Event {
   let ticket = Ticket(ticket);
-  Event::Named { ticket, rate }
+  Event::LimitAnnounced { ticket, rate }
 }
 
 fn ended(ticket: u64, end: End) -> Event {
@@ -348,7 +348,7 @@
   let effects = state.reduce(20, named(1, Some(1.0)));
   assert!(matches!(
     effects[..],
-    [Effect::Limited {
+    [Effect::LimitChanged {
       rate: Some(1.0),
       ..
     }]
@@ -360,7 +360,7 @@
     let mut effects = state.reduce(now, arrived(ticket));
     if sent(&effects).is_none() && refused(&effects).is_none() {
       // Its patience is over.
-      effects = state.reduce(now + 160, Event::Look(Ticket(ticket)));
+      effects = state.reduce(now + 160, Event::Recheck(Ticket(ticket)));
     }
     if sent(&effects).is_some() {
       sends += 1;
@@ -390,7 +390,7 @@
   let broken = at["one"];
   let effects = state.reduce(20, ended(broken, End::Broken));
   assert_eq!(sent(&effects), None, "a unit of the other one is asked for");
-  assert!(effects.contains(&Effect::Need));
+  assert!(effects.contains(&Effect::RequestQuota));
   let uses = state.uses(20);
   let needed: Vec<u32> = uses.iter().map(|one| one.need).collect();
   assert!(needed.contains(&1), "{needed:?}");
@@ -408,5 +408,5 @@
   assert_eq!(sent(&effects), Some(("two".to_string(), true)));
   // It did not get there: the unit is free for the next one.
   let effects = state.reduce(30, ended(broken, End::Unreached));
-  assert_eq!(state.purse().standing(30, two).1, 1, "{effects:?}");
+  assert_eq!(state.quotas().standing(30, two).1, 1, "{effects:?}");
 }
--- a/tests/lives.rs
+++ b/tests/lives.rs
@@ -9,7 +9,7 @@
   command::{Command, Inventory, Taken},
   demand::Model,
   deployment::Engine,
-  dispatch::{Ask, Change, Effect, End, Event, State},
+  dispatch::{Change, Descriptor, Effect, End, Event, State},
   placement::plan::{Effect as Planned, Publication},
   request::Ticket,
   route::Repeat,
@@ -216,7 +216,7 @@
   };
   Event::Updated {
     holdings: vec![holding],
-    all: None,
+    group: None,
     loads: None,
     instances: 1,
   }
@@ -224,14 +224,14 @@
 
 /// Whether a request for a model is sent at once.
 fn sent(state: &mut State, now: u64, ticket: u64, model: &str) -> bool {
-  let ask = Ask {
+  let ask = Descriptor {
     ticket: Ticket(ticket),
     id: ticket.to_string(),
     route: route(Repeat::Always, None, 3).into(),
     pool: "pool".into(),
     model: Some(Model::parse(model)),
     affinity: 0,
-    until: now + 5_000,
+    deadline: now + 5_000,
     content: Default::default(),
     caller: None,
   };
@@ -289,7 +289,7 @@
   state.reduce(1, Event::Servers(lives));
   assert!(!sent(&mut state, 2, 1, "m"));
   assert!(!sent(&mut state, 2, 2, "n"));
-  assert_eq!(state.backends[state.ids["s"]].spec.born, THIRD);
+  assert_eq!(state.backends[state.by_id["s"]].spec.born, THIRD);
 }
 
 #[test]
--- a/tests/quarantine.rs
+++ b/tests/quarantine.rs
@@ -9,7 +9,7 @@
     stored::{Call, Entry, Record, Stored, encode},
   },
   deployment::Engine,
-  dispatch::{Ask, Change, Effect, End, Event, State},
+  dispatch::{Change, Descriptor, Effect, End, Event, State},
   life::Life,
   refusal::Reason,
   request::Ticket,
@@ -183,14 +183,14 @@
 }
 
 fn ask(ticket: u64, content: u128, repeat: Repeat) -> Event {
-  Event::Arrived(Ask {
+  Event::Arrived(Descriptor {
     ticket: Ticket(ticket),
     id: ticket.to_string(),
     route: Arc::new(requests::route(repeat, None, 3)),
     pool: "pool".into(),
     model: None,
     affinity: 0,
-    until: 20_000,
+    deadline: 20_000,
     content: content::Key(content),
     caller: None,
   })
@@ -232,7 +232,7 @@
   let ticket = Ticket(1);
   let end = End::Crashed;
   let effects = state.reduce(2, Event::Ended { ticket, end });
-  assert!(effects.contains(&Effect::Crashed));
+  assert!(effects.contains(&Effect::ReportCrashes));
   assert!(sends(&effects));
   let crashes = state.take_crashes();
   assert_eq!(crashes.len(), 1);
@@ -247,9 +247,9 @@
   let Some(Effect::Send(attempt)) = effects.first().cloned() else {
     panic!("a send: {effects:?}");
   };
-  assert_eq!(state.overtaken(&attempt), None);
+  assert_eq!(state.abort_reason(&attempt), None);
   state.reduce(2, quarantine(GUILTY));
-  assert_eq!(state.overtaken(&attempt), Some(End::Leaving));
+  assert_eq!(state.abort_reason(&attempt), Some(End::Leaving));
   let ticket = attempt.ticket;
   let end = End::Leaving;
   let effects = state.reduce(3, Event::Ended { ticket, end });
--- a/tests/requests/mod.rs
+++ b/tests/requests/mod.rs
@@ -60,7 +60,7 @@
 
 /// The same, with a seed for what it draws.
 pub fn seeded(engine: Engine, seed: u64) -> State {
-  let mut state = State::open("a", BOUND, seed);
+  let mut state = State::new("a", BOUND, seed);
   let pool = Pool {
     engine: Some(Arc::new(engine)),
   };
--- a/tests/returned.rs
+++ b/tests/returned.rs
@@ -6,7 +6,7 @@
 use bendsaddle::{
   backend::{Spec, Stage},
   deployment::Engine,
-  dispatch::{Ask, Change, Effect, Event, State},
+  dispatch::{Change, Descriptor, Effect, Event, State},
   request::Ticket,
   route::Repeat,
 };
@@ -42,19 +42,19 @@
 /// Where the next request goes.
 fn used(state: &mut State, now: u64) -> Option<String> {
   let ticket = Ticket(now + 1);
-  let arrived = Event::Arrived(Ask {
+  let arrived = Event::Arrived(Descriptor {
     ticket,
     id: now.to_string(),
     route: Arc::new(requests::route(Repeat::Always, None, 3)),
     pool: "pool".into(),
     model: None,
     affinity: 0,
-    until: now + 5_000,
+    deadline: now + 5_000,
     content: Default::default(),
     caller: None,
   });
   let effects = state.reduce(now, arrived);
-  state.reduce(now, Event::Left(ticket));
+  state.reduce(now, Event::CallerGone(ticket));
   effects.iter().find_map(|effect| match effect {
     Effect::Send(attempt) => Some(attempt.id.clone()),
     _ => None,
@@ -63,7 +63,7 @@
 
 /// The store has come back, and its copy holds entries of these servers.
 fn restore(state: &mut State, now: u64, ids: &[&str]) {
-  state.reduce(now, Event::StoreReturned);
+  state.reduce(now, Event::StoreRestored);
   state.reduce(now, all(ids));
   state.reduce(now, Event::StoreCurrent);
 }
@@ -80,7 +80,7 @@
 #[test]
 fn a_server_that_was_gone_is_not_back_with_the_copy_alone() {
   let mut state = servers(&["s"]);
-  state.reduce(10, Event::Servers(vec![Change::Gone("s".into())]));
+  state.reduce(10, Event::Servers(vec![Change::Removed("s".into())]));
   restore(&mut state, 1_000, &["s"]);
   assert_eq!(used(&mut state, 1_010), None);
   // Another list shows no more.
@@ -93,7 +93,7 @@
 #[test]
 fn it_is_back_once_it_writes_its_entry_again() {
   let mut state = servers(&["s"]);
-  state.reduce(10, Event::Servers(vec![Change::Gone("s".into())]));
+  state.reduce(10, Event::Servers(vec![Change::Removed("s".into())]));
   restore(&mut state, 1_000, &["s"]);
   state.reduce(1_500, set(requests::spec("s")));
   assert!(used(&mut state, 1_510).is_some());
@@ -116,7 +116,7 @@
 fn what_is_removed_after_the_return_has_left() {
   let mut state = servers(&["s"]);
   restore(&mut state, 1_000, &["s"]);
-  state.reduce(1_100, Event::Servers(vec![Change::Gone("s".into())]));
+  state.reduce(1_100, Event::Servers(vec![Change::Removed("s".into())]));
   assert_eq!(used(&mut state, 1_110), None);
 }
 
--- a/tests/sends.rs
+++ b/tests/sends.rs
@@ -92,8 +92,8 @@
     slack: 0.0,
     window_ms: 10_000,
   };
-  let state = State::open("a", bound, 1);
-  let hub = Hub::open(state, Dialect::DEFAULT, Logger::root(Discard, o!())).unwrap();
+  let state = State::new("a", bound, 1);
+  let hub = Hub::new(state, Dialect::DEFAULT, Logger::root(Discard, o!())).unwrap();
   let deployment = Deployment {
     version: 1,
     routes: vec![route()],
@@ -152,7 +152,7 @@
   let caller = thread::spawn(move || ask(callers));
   wait_for("the decision", || {
     let state = hub.state();
-    state.backends[state.ids["one"]].running == 1
+    state.backends[state.by_id["one"]].running == 1
   });
   let changes = vec![
     Change::Set(spec("one", one, Stage::Draining)),
@@ -164,5 +164,5 @@
   let text = caller.join().unwrap();
   assert!(text.ends_with("two"), "{text}");
   let state = hub.state();
-  assert_eq!(state.backends[state.ids["one"]].running, 0);
+  assert_eq!(state.backends[state.by_id["one"]].running, 0);
 }
--- a/tests/statements.rs
+++ b/tests/statements.rs
@@ -6,7 +6,7 @@
 use bendsaddle::{
   backend::{Holding, Spec, Stage},
   deployment::Engine,
-  dispatch::{Ask, Attempt, Change, Effect, End, Event, State},
+  dispatch::{Attempt, Change, Descriptor, Effect, End, Event, State},
   http::Headers,
   life::Life,
   refusal::Reason,
@@ -31,14 +31,14 @@
 
 /// A request whose caller waits until then, ms.
 fn until(ticket: u64, until: u64) -> Event {
-  Event::Arrived(Ask {
+  Event::Arrived(Descriptor {
     ticket: Ticket(ticket),
     id: ticket.to_string(),
     route: Arc::new(requests::route(Repeat::Always, None, 3)),
     pool: "pool".into(),
     model: None,
     affinity: 0,
-    until,
+    deadline: until,
     content: Default::default(),
     caller: None,
   })
@@ -59,7 +59,7 @@
 fn used(state: &mut State, now: u64) -> bool {
   let ticket = now + 1;
   let attempt = sent(&state.reduce(now, until(ticket, now + 5_000)));
-  state.reduce(now, Event::Left(Ticket(ticket)));
+  state.reduce(now, Event::CallerGone(Ticket(ticket)));
   attempt.is_some()
 }
 
@@ -84,9 +84,9 @@
   for (now, event) in [
     (40, set(ready.clone())),
     (50, Event::Servers(vec![Change::All(vec![ready.clone()])])),
-    (60, Event::Servers(vec![Change::Gone("s".into())])),
+    (60, Event::Servers(vec![Change::Removed("s".into())])),
     (70, set(ready.clone())),
-    (80, Event::Servers(vec![Change::Faulty("s".into())])),
+    (80, Event::Servers(vec![Change::Invalid("s".into())])),
     (90, set(ready)),
   ] {
     state.reduce(now, event);
@@ -98,7 +98,7 @@
   };
   let updated = Event::Updated {
     holdings: vec![holding],
-    all: Some((0, 1)),
+    group: Some((0, 1)),
     loads: None,
     instances: 3,
   };
@@ -127,9 +127,9 @@
 fn a_request_that_was_decided_before_is_not_sent() {
   let mut state = servers(&["s"]);
   let attempt = sent(&state.reduce(10, arrived(1))).expect("a send");
-  assert_eq!(state.overtaken(&attempt), None);
+  assert_eq!(state.abort_reason(&attempt), None);
   state.reduce(11, Event::Leaving(life("s")));
-  assert_eq!(state.overtaken(&attempt), Some(End::Leaving));
+  assert_eq!(state.abort_reason(&attempt), Some(End::Leaving));
   let ticket = Ticket(1);
   let end = End::Leaving;
   state.reduce(12, Event::Ended { ticket, end });
@@ -144,7 +144,7 @@
   state.reduce(10, Event::Leaving(life("s")));
   state.reduce(11, Event::Leaving(life("s")));
   assert_eq!(state.changes, changes + 1);
-  let key = state.ids["s"];
+  let key = state.by_id["s"];
   assert_eq!(state.backends[key].effective_spec().stage, Stage::Draining);
   assert_eq!(state.take_statements(), [(life("s"), true)]);
   assert_eq!(state.take_statements(), []);
@@ -187,8 +187,8 @@
         0 => Change::Set(requests::spec("s")),
         1 => Change::All(vec![requests::spec("s")]),
         2 => Change::All(Vec::new()),
-        3 => Change::Gone("s".into()),
-        _ => Change::Faulty("s".into()),
+        3 => Change::Removed("s".into()),
+        _ => Change::Invalid("s".into()),
       };
       state.reduce(now, Event::Servers(vec![change]));
       !used(&mut state, now)
@@ -198,7 +198,10 @@
 
 fn rest(id: &str, rest_ms: u64) -> Event {
   let server = life(id);
-  Event::Rest { server, rest_ms }
+  Event::Backoff {
+    server,
+    backoff_ms: rest_ms,
+  }
 }
 
 fn ended(ticket: u64, end: End) -> Event {
@@ -223,8 +226,8 @@
   let mut state = servers(&["s", "t"]);
   let attempt = sent(&state.reduce(10, arrived(1))).expect("a send");
   state.reduce(11, rest(&attempt.id, 3_000));
-  assert_eq!(state.overtaken(&attempt), Some(End::Resting));
-  assert!(!End::Resting.reached());
+  assert_eq!(state.abort_reason(&attempt), Some(End::Resting));
+  assert!(!End::Resting.may_have_reached_server());
   let other = sent(&state.reduce(12, ended(1, End::Resting))).expect("a send");
   assert_ne!(other.id, attempt.id);
 }
@@ -252,8 +255,8 @@
   state.reduce(10, rest("s", 1_000));
   let effects = state.reduce(20, arrived(1));
   assert!(matches!(effects[..], [Effect::Wait(..)]), "{effects:?}");
-  assert_eq!(sent(&state.reduce(1_000, Event::Look(Ticket(1)))), None);
-  assert!(sent(&state.reduce(1_010, Event::Look(Ticket(1)))).is_some());
+  assert_eq!(sent(&state.reduce(1_000, Event::Recheck(Ticket(1)))), None);
+  assert!(sent(&state.reduce(1_010, Event::Recheck(Ticket(1)))).is_some());
 }
 
 #[test]
@@ -264,7 +267,7 @@
     state.reduce(20, arrived(ticket));
   }
   let tried = |state: &mut State, now| -> Vec<Attempt> {
-    let looks = (1..=20).map(|ticket| state.reduce(now, Event::Look(Ticket(ticket))));
+    let looks = (1..=20).map(|ticket| state.reduce(now, Event::Recheck(Ticket(ticket))));
     looks.filter_map(|effects| sent(&effects)).collect()
   };
   let first = tried(&mut state, 1_010);
@@ -276,7 +279,7 @@
   assert_eq!(tried(&mut state, 1_600).len(), 0);
   assert_eq!(tried(&mut state, 1_610).len(), 2);
   // One of the next two is taken: all others go.
-  let effects = state.reduce(1_650, Event::Took(life("s")));
+  let effects = state.reduce(1_650, Event::TrialAccepted(life("s")));
   let sends = effects.iter();
   let sends = sends.filter(|effect| matches!(effect, Effect::Send(attempt) if !attempt.trial));
   assert_eq!(sends.count(), 16);
@@ -303,7 +306,13 @@
   state.reduce(0, Event::Servers(vec![Change::All(vec![born(5)])]));
   let server = Life::of("s", 5);
   let rest_ms = u64::MAX;
-  state.reduce(10, Event::Rest { server, rest_ms });
+  state.reduce(
+    10,
+    Event::Backoff {
+      server,
+      backoff_ms: rest_ms,
+    },
+  );
   assert!(!used(&mut state, 1_000_000));
   assert_eq!(state.resting(1_000_000), [server]);
   state.reduce(1_000_010, set(born(6)));
@@ -346,7 +355,7 @@
           state.reduce(now, rest("s", ms.into()));
         }
         1 => {
-          state.reduce(now, Event::Took(life("s")));
+          state.reduce(now, Event::TrialAccepted(life("s")));
         }
         2 => {
           state.reduce(now, set(requests::spec("s")));
