--- a/src/dispatch.rs
+++ b/src/dispatch.rs
@@ -1,8 +1,7 @@
-//! The reducer of routed requests: admission, choice of a backend server,
-//! retries and refusals.
+//! The reducer for routed requests: admission, server selection, retries and refusals.
 //!
-//! Events go in with their time, effects come out; threads around it carry
-//! effects out and hold no decision of their own.
+//! It takes events with timestamps and returns effects. The surrounding threads execute the
+//! effects and make no decisions of their own.
 
 mod choice;
 mod ending;
@@ -35,116 +34,114 @@
   sync::Arc,
 };
 
-/// Pause before a waiting request is looked at again without a change, ms.
+/// Interval at which a waiting request is checked again if nothing changes.
 pub(crate) const RECHECK_MS: u64 = 100;
-/// Sends beyond a route's attempts, for sends that were declined.
-const DECLINED_MOST: u32 = 4;
-/// Time for which published holdings count, ms: the planner publishes every half
-/// second, and a server's own entry takes about two seconds to show a change.
-const CURRENT_MS: u64 = 2_500;
-/// An instance without the store that has heard of no planner for this long cannot
-/// have models loaded, ms: a planner publishes every half second, also while it may not order.
+/// Additional sends beyond a route's attempts, to make up for declined sends.
+const MAX_DECLINED_SENDS: u32 = 4;
+/// How long published holdings are valid. The planner publishes every half second, and a server's
+/// own entry takes about two seconds to show a change.
+const HOLDINGS_VALID_MS: u64 = 2_500;
+/// An instance that has lost the store and has received no planner update for this long cannot
+/// get models loaded. A planner publishes every half second, even while it may not issue orders.
 const ISOLATED_MS: u64 = 1_800;
-/// Time after which a refused caller may come back, ms: a load from a server's disk
-/// takes about as long.
+/// Default retry-after of a refusal. A load from a server's disk takes about as long.
 const RETRY_AFTER_MS: u64 = 500;
 
-/// A request between arrival and its final answer.
+/// State of a request between its arrival and its final response. Times are in milliseconds.
 #[derive(Clone, Debug)]
 pub struct Request {
   pub descriptor: Descriptor,
   pub sends: u32,
-  /// Sends that may have run.
+  /// Number of sends that servers may have run.
   pub runs: u32,
   pub backend: Option<backend::Key>,
   pub tried: Vec<backend::Key>,
   pub verdict: Verdict,
   pub arrived: u64,
-  /// It waits for a server since then, ms.
+  /// Since when the request has been waiting for a server.
   pub waiting_since: Option<u64>,
-  /// When it was last sent, ms.
+  /// When the request was last sent.
   pub(crate) sent: u64,
-  /// Something of an answer has come.
+  /// Whether any part of a response has arrived.
   pub(crate) response_started: bool,
-  /// When the send under way brought its first event, ms.
+  /// When the current send delivered its first event.
   pub(crate) first_event_at: Option<u64>,
-  /// When a run of it last ended without an answer, ms.
+  /// When a run of the request last ended without a response.
   pub(crate) failed_at: u64,
-  /// Its units count in its customer's quota.
-  paid: bool,
-  /// They were asked for then, ms.
-  asked: Option<u64>,
-  /// Its place among those that wait.
+  /// Whether the request's units are charged to its customer's quota.
+  quota_charged: bool,
+  /// When those units were requested.
+  quota_requested_at: Option<u64>,
+  /// Fair queuing tag of the request while it waits.
   tag: Option<u64>,
-  /// The unit of a server's limit that its send under way took.
+  /// The unit of a server's limit that the current send has taken.
   pub(crate) limit_unit: Option<quota::Id>,
-  /// The leaves that it has, for itself and at a server: it may crash servers.
+  /// Permits held by a request that may crash servers: its own and the server's.
   pub(crate) permits: Vec<quota::Id>,
-  /// The unit that it asked for, and since when, ms.
+  /// The quota unit that was requested, and when.
   pub(crate) pending_unit: Option<(quota::Id, u64)>,
 }
 
-/// Everything that routed requests are decided by.
+/// The state on which decisions about routed requests are based. Times are in milliseconds.
 pub struct State {
   pub zone: String,
   pub retry_bound: Bound,
   pub deployment: Option<Arc<Deployment>>,
   pub backends: SlotMap<backend::Key, Backend>,
   pub by_id: HashMap<String, backend::Key>,
-  /// The servers were read at least once.
+  /// Whether the list of servers was read at least once.
   pub listed: bool,
-  /// What is kept from servers was read from the store.
+  /// Whether the quarantined requests were read from the store.
   pub records_read: bool,
-  /// Counts changes of the deployment and of servers.
+  /// Number of changes of the deployment and of servers.
   pub changes: u64,
   pub requests: HashMap<Ticket, Request>,
-  /// Waiting requests: the most urgent first, then the one that ends first.
+  /// Waiting requests, by priority and then by fair queuing tag or deadline.
   pub waiting: BTreeSet<(u8, u64, Ticket)>,
-  /// Requests sent, by server and model.
+  /// Number of requests at servers, by server and model.
   pub running: BTreeMap<(backend::Key, Model), u32>,
   pub budgets: BTreeMap<String, Budget>,
-  /// Instances that share the budget.
+  /// Number of instances that share the budgets.
   pub instances: usize,
-  /// Requests that arrive from this time on are refused: their answers might be
-  /// cut off, ms.
-  new_until: u64,
-  /// Requests that wait at this time are refused: the process is to end, ms.
-  stop_at: u64,
-  /// When a planner was last heard of, ms.
+  /// Requests that arrive from this time on are refused because their responses might be cut off.
+  accept_until: u64,
+  /// Requests that still wait at this time are refused because the process is about to exit.
+  refuse_waiting_at: u64,
+  /// When the last planner update arrived; 0 if none has arrived.
   pub planner_seen_at: u64,
   pub(crate) expiry: Expiry,
   pub(crate) restored: Restored,
-  /// What callers want that were sent away with a Retry-After.
+  /// Demand of callers that were refused with a Retry-After.
   pub(crate) deferrals: Deferrals,
   /// How slow servers were for each model since the last report.
   pub(crate) strain: Totals,
-  /// Holdings of servers whose entries were not read yet, and when they came, ms.
+  /// Holdings of servers whose entries have not been read yet, with the time of their arrival.
   pub(crate) early_holdings: BTreeMap<String, (Holding, u64)>,
-  /// Counts changes of holdings that were published.
+  /// Number of changes of published holdings.
   pub updates: u64,
-  /// Which requests pass to servers that they may crash.
-  door: Filter,
-  /// What servers said of themselves in their answers.
+  /// Decides whether requests that may crash servers are sent.
+  crash_filter: Filter,
+  /// What servers stated in their responses: limits, whether they are leaving, and backoffs.
   pub(crate) limits: Limits,
   pub(crate) leaving: Leaving,
   pub(crate) backoffs: Rests,
-  /// What this instance may use of quotas.
+  /// Quota units that this instance may use.
   pub(crate) quotas: Purse,
-  /// What all instances keep of customers' quotas.
+  /// The bound on customers' quotas that all instances together keep.
   quota_bound: quota::Bound,
-  turns: Turns,
-  /// Leaves were given back.
+  fair_queue: Turns,
+  /// Whether permits were released since the last report.
   pub(crate) permits_released: bool,
   rng: SmallRng,
   pub(crate) now: u64,
   pub(crate) out: Vec<Effect>,
 }
 
-/// Instances assumed until the planner has published how many there are.
-const INSTANCES: usize = 8;
+/// Number of instances assumed until the planner has published it.
+const DEFAULT_INSTANCES: usize = 8;
 
 impl State {
-  /// State of an instance that knows nothing yet.
+  /// The initial state of an instance.
   pub fn new(zone: &str, bound: Bound, seed: u64) -> Self {
     Self {
       zone: zone.into(),
@@ -159,9 +156,9 @@
       waiting: BTreeSet::new(),
       running: BTreeMap::new(),
       budgets: BTreeMap::new(),
-      instances: INSTANCES,
-      new_until: u64::MAX,
-      stop_at: u64::MAX,
+      instances: DEFAULT_INSTANCES,
+      accept_until: u64::MAX,
+      refuse_waiting_at: u64::MAX,
       planner_seen_at: 0,
       expiry: Expiry::default(),
       restored: Restored::default(),
@@ -169,13 +166,13 @@
       strain: Totals::new(),
       early_holdings: BTreeMap::new(),
       updates: 0,
-      door: Filter::default(),
+      crash_filter: Filter::default(),
       limits: Limits::default(),
       leaving: Leaving::default(),
       backoffs: Rests::default(),
       quotas: Purse::open(seed),
       quota_bound: quota::BOUND,
-      turns: Turns::default(),
+      fair_queue: Turns::default(),
       permits_released: false,
       rng: SmallRng::seed_from_u64(seed),
       now: 0,
@@ -188,19 +185,19 @@
     self.deployment.is_some() && self.listed && self.records_read
   }
 
-  /// Takes up an event; gives what is to be done.
+  /// Applies an event and returns the resulting effects.
   pub fn reduce(&mut self, now: u64, event: Event) -> Vec<Effect> {
     self.now = now;
-    // An entry that a change brings back must not be dropped before it.
+    // Entries that this event restores must not be dropped first.
     if !matches!(event, Event::Servers(_)) {
       self.drop_lapsed();
     }
     match event {
-      Event::Deployed(deployment) => self.deployed(deployment),
+      Event::Deployed(deployment) => self.on_deployed(deployment),
       Event::Servers(changes) => self.servers(changes),
       Event::Updated {
         holdings,
-        group: all,
+        group,
         loads,
         instances,
       } => {
@@ -209,26 +206,26 @@
         if let Some(loads) = loads {
           self.loads(&loads);
         }
-        self.take_holdings(holdings, all);
+        self.take_holdings(holdings, group);
       }
-      Event::Arrived(ask) => self.arrived(ask),
-      Event::Ended { ticket, end } => self.ended(ticket, end),
+      Event::Arrived(descriptor) => self.on_arrived(descriptor),
+      Event::Ended { ticket, end } => self.on_ended(ticket, end),
       Event::ResponseStarted(ticket) => {
-        self.answering(ticket);
+        self.record_first_event(ticket);
         self.record_answer_start(ticket);
       }
       Event::Recheck(ticket) => self.dispatch(ticket),
-      Event::CallerGone(ticket) => self.left(ticket),
-      Event::StoreLost => self.expiry.lose(now),
-      Event::StoreBack(silence) => self.store_back(&silence),
+      Event::CallerGone(ticket) => self.on_caller_gone(ticket),
+      Event::StoreLost => self.expiry.store_lost(now),
+      Event::StoreBack(outage) => self.store_back(&outage),
       Event::StoreRestored => {
         self.restored.record_restore(now);
-        self.expiry.lack(now);
+        self.expiry.store_restored(now);
       }
-      Event::StoreCurrent => self.expiry.close(),
-      Event::Resumed(ticket) => self.answering(ticket),
+      Event::StoreCurrent => self.expiry.store_current(),
+      Event::Resumed(ticket) => self.record_first_event(ticket),
       Event::Quarantined(entries) => {
-        self.door.update_quarantine(now, &entries);
+        self.crash_filter.update_quarantine(now, &entries);
         self.dispatch_waiting();
       }
       Event::RecordsRead => self.records_read = true,
@@ -240,21 +237,18 @@
       Event::LimitAnnounced { ticket, rate } => self.named(ticket, rate),
       Event::Statements(statements) => self.hear_statements(&statements),
       Event::Leaving(server) => self.hear_leaving(server, now, true),
-      Event::Backoff {
-        server,
-        backoff_ms: rest_ms,
-      } => self.hear_rest(server, rest_ms),
+      Event::Backoff { server, backoff_ms } => self.hear_rest(server, backoff_ms),
       Event::TrialAccepted(server) => self.took(server),
-      Event::Suspected(entries) => self.door.update_suspects(now, &entries),
-      Event::Stopping(new_until, wait_until) => {
-        self.new_until = new_until;
-        self.stop_at = wait_until;
+      Event::Suspected(entries) => self.crash_filter.update_suspects(now, &entries),
+      Event::Stopping(accept_until, refuse_waiting_at) => {
+        self.accept_until = accept_until;
+        self.refuse_waiting_at = refuse_waiting_at;
       }
     }
     std::mem::take(&mut self.out)
   }
 
-  fn deployed(&mut self, deployment: Arc<Deployment>) {
+  fn on_deployed(&mut self, deployment: Arc<Deployment>) {
     let newer = |old: &Arc<Deployment>| old.version < deployment.version;
     if self.deployment.as_ref().is_none_or(newer) {
       self.deployment = Some(deployment);
@@ -263,12 +257,12 @@
     }
   }
 
-  fn arrived(&mut self, ask: Descriptor) {
-    let budget = self.budgets.entry(ask.pool.clone()).or_default();
+  fn on_arrived(&mut self, descriptor: Descriptor) {
+    let budget = self.budgets.entry(descriptor.pool.clone()).or_default();
     budget.record_request(self.now, &self.retry_bound);
-    let ticket = ask.ticket;
+    let ticket = descriptor.ticket;
     let request = Request {
-      descriptor: ask,
+      descriptor,
       sends: 0,
       runs: 0,
       backend: None,
@@ -280,28 +274,28 @@
       response_started: false,
       first_event_at: None,
       failed_at: 0,
-      paid: false,
-      asked: None,
+      quota_charged: false,
+      quota_requested_at: None,
       tag: None,
       limit_unit: None,
       permits: Vec::new(),
       pending_unit: None,
     };
     self.requests.insert(ticket, request);
-    if self.now >= self.new_until {
+    if self.now >= self.accept_until {
       return self.refuse(ticket, Reason::Stopping);
     }
     self.dispatch(ticket);
   }
 
-  /// The caller has gone; a send that its thread has not seen yet is not made.
-  fn left(&mut self, ticket: Ticket) {
+  /// Handles a caller that disconnected. A send that its thread has not picked up yet is cancelled.
+  fn on_caller_gone(&mut self, ticket: Ticket) {
     let decided = self
       .requests
       .get_mut(&ticket)
       .and_then(|request| Some((request.backend.take()?, request.descriptor.model.clone())));
     if let Some((key, model)) = decided {
-      self.settle(key, model, End::Left);
+      self.finish_send(key, model, End::Left);
     }
     self.forget(ticket);
   }
@@ -311,23 +305,25 @@
     let Some(request) = self.requests.remove(&ticket) else {
       return;
     };
-    self.waiting.remove(&order(&request));
-    if let (true, Verdict::NotRun, Some(caller)) =
-      (request.paid, request.verdict, request.descriptor.caller)
-    {
+    self.waiting.remove(&queue_key(&request));
+    if let (true, Verdict::NotRun, Some(caller)) = (
+      request.quota_charged,
+      request.verdict,
+      request.descriptor.caller,
+    ) {
       self.quotas.give_back(caller.customer, caller.cost);
     }
   }
 
-  /// Counts a request in its customer's quota; whether it may go on now.
-  fn pay(&mut self, ticket: Ticket) -> bool {
+  /// Charges a request to its customer's quota. Returns whether it may proceed now.
+  fn charge_quota(&mut self, ticket: Ticket) -> bool {
     let now = self.now;
     let customers = self.deployment.as_ref();
     let customers = customers.and_then(|deployment| deployment.customers.clone());
     let Some(request) = self.requests.get_mut(&ticket) else {
       return false;
     };
-    let quota = match (request.paid, request.descriptor.caller, customers) {
+    let quota = match (request.quota_charged, request.descriptor.caller, customers) {
       (false, Some(caller), Some(book)) => {
         let customer = book.get(caller.customer);
         customer.and_then(|customer| Some((caller, customer.quota?)))
@@ -335,7 +331,7 @@
       _ => None,
     };
     let Some((caller, quota)) = quota else {
-      request.paid = true;
+      request.quota_charged = true;
       return true;
     };
     let allowance = Allowance {
@@ -343,22 +339,22 @@
       bound: self.quota_bound,
     };
     let customer = (caller.customer, &allowance);
-    let asked = request.asked;
+    let requested_at = request.quota_requested_at;
     match self
       .quotas
-      .spend(now, customer, caller.cost, asked, self.instances)
+      .spend(now, customer, caller.cost, requested_at, self.instances)
     {
       Spending::Spent => {
-        request.paid = true;
+        request.quota_charged = true;
         true
       }
       Spending::Ask(until) => {
-        let new = request.asked.is_none();
-        request.asked.get_or_insert(now);
+        let new = request.quota_requested_at.is_none();
+        request.quota_requested_at.get_or_insert(now);
         let until = until
           .min(request.descriptor.deadline)
           .min(now + quota::AGAIN_MS);
-        self.wait(ticket, until);
+        self.enqueue(ticket, until);
         if new {
           self.out.push(Effect::RequestQuota);
         }
@@ -371,30 +367,30 @@
     }
   }
 
-  /// Puts a request among those that wait, and has it looked at again at a time, ms.
-  fn wait(&mut self, ticket: Ticket, until: u64) {
+  /// Adds a request to the waiting requests and schedules its next check for `until`.
+  fn enqueue(&mut self, ticket: Ticket, until: u64) {
     let Some(request) = self.requests.get_mut(&ticket) else {
       return;
     };
     if let (None, Some(caller)) = (request.tag, request.descriptor.caller) {
-      request.tag = Some(self.turns.tag(caller.customer, caller.cost));
+      request.tag = Some(self.fair_queue.tag(caller.customer, caller.cost));
     }
-    self.waiting.insert(order(request));
+    self.waiting.insert(queue_key(request));
     self.out.push(Effect::Wait(ticket, until));
   }
 
-  /// Whether requests wait for a unit of a limit, or for a leave.
+  /// Whether any request waits for a unit of a limit or for a permit.
   pub fn needs_units(&self) -> bool {
     let mut waiting = self.waiting.iter();
     waiting.any(|(.., ticket)| self.requests[ticket].pending_unit.is_some())
   }
 
-  /// What is used of quotas here, and needed, for the holder of the lease.
+  /// Quota units that this instance uses and needs, for the lease holder.
   pub fn uses(&mut self, now: u64) -> Vec<Use> {
     let mut needs: HashMap<quota::Id, u32> = HashMap::new();
     for (.., ticket) in &self.waiting {
       let request = &self.requests[ticket];
-      if let (false, Some(caller)) = (request.paid, request.descriptor.caller) {
+      if let (false, Some(caller)) = (request.quota_charged, request.descriptor.caller) {
         *needs.entry(caller.customer).or_default() += caller.cost;
       }
       if let Some((id, _)) = request.pending_unit {
@@ -404,17 +400,17 @@
     self.quotas.uses(now, &needs)
   }
 
-  /// What servers in need said, as this instance knows it.
+  /// The limits that servers have announced, as known to this instance.
   pub fn limits(&self) -> &Limits {
     &self.limits
   }
 
-  /// Bounds what all instances keep of customers' quotas.
+  /// Sets the bound on customers' quotas that all instances together keep.
   pub fn set_quota_bound(&mut self, bound: quota::Bound) {
     self.quota_bound = bound;
   }
 
-  /// What this instance knows of quotas.
+  /// The quota state of this instance.
   pub fn quotas(&self) -> &Purse {
     &self.quotas
   }
@@ -423,7 +419,7 @@
     self.refuse_with_retry_after(ticket, reason, RETRY_AFTER_MS);
   }
 
-  /// Refuses a request; its caller may come back after some time, ms.
+  /// Refuses a request; its caller may retry after `retry_after` milliseconds.
   pub(crate) fn refuse_with_retry_after(
     &mut self,
     ticket: Ticket,
@@ -449,7 +445,7 @@
     }
   }
 
-  /// Sends a request, lets it wait, or gives it up.
+  /// Sends a request, lets it wait or refuses it.
   fn dispatch(&mut self, ticket: Ticket) {
     let Some(request) = self.requests.get(&ticket) else {
       return;
@@ -457,54 +453,56 @@
     if request.backend.is_some() {
       return;
     }
-    let pass = self.door.admission(self.now, request.descriptor.content);
+    let pass = self
+      .crash_filter
+      .admission(self.now, request.descriptor.content);
     if pass == Admission::Denied {
       return self.refuse_quarantined(ticket);
     }
     if self.now >= request.descriptor.deadline {
       return self.refuse(ticket, Reason::TooLate);
     }
-    if self.now >= self.stop_at {
+    if self.now >= self.refuse_waiting_at {
       return self.refuse(ticket, Reason::Stopping);
     }
-    if request.sends >= request.descriptor.route.attempts + DECLINED_MOST {
+    if request.sends >= request.descriptor.route.attempts + MAX_DECLINED_SENDS {
       return self.refuse(ticket, Reason::NoServer);
     }
-    if !self.pay(ticket) {
+    if !self.charge_quota(ticket) {
       return;
     }
     let choice = match pass {
-      Admission::Delayed(until) => return self.hold_suspect(ticket, until),
-      // Nobody asks for a leave that could not be used.
+      Admission::Delayed(until) => return self.wait_for_turn(ticket, until),
+      // Don't request a permit that could not be used.
       Admission::Isolated(_) if self.candidates(ticket).is_empty() => Choice::Nobody,
       Admission::Isolated(crashes) => match self.acquire_permit(ticket, crashes) {
         Permit::Granted => self.choose(ticket, Some(crashes)),
-        Permit::Requested(until) => return self.hold_suspect(ticket, until),
-        Permit::Taken => return self.hold_suspect(ticket, self.now + quota::AGAIN_MS),
+        Permit::Requested(until) => return self.wait_for_turn(ticket, until),
+        Permit::Taken => return self.wait_for_turn(ticket, self.now + quota::AGAIN_MS),
       },
       Admission::Allowed | Admission::Denied => self.choose(ticket, None),
     };
     match choice {
       Choice::Server(key) => self.send(ticket, key),
-      Choice::Ask(until) => self.ask_for_room(ticket, until),
+      Choice::Ask(until) => self.wait_for_unit(ticket, until),
       Choice::Full(after) => self.hold_full(ticket, after),
       Choice::Nobody => self.wait_for_server(ticket),
     }
   }
 
-  /// Lets a request wait for a unit of a server's limit, which was asked for.
-  fn ask_for_room(&mut self, ticket: Ticket, until: u64) {
+  /// Lets a request wait for the requested unit of a server's limit.
+  fn wait_for_unit(&mut self, ticket: Ticket, until: u64) {
     let Some(request) = self.requests.get(&ticket) else {
       return;
     };
     let until = until
       .min(request.descriptor.deadline)
       .min(self.now + quota::AGAIN_MS);
-    self.wait(ticket, until);
+    self.enqueue(ticket, until);
   }
 
-  /// Lets a request that may be to blame for crashes wait for its turn.
-  fn hold_suspect(&mut self, ticket: Ticket, turn: u64) {
+  /// Lets a request that may have caused crashes wait until it may run.
+  fn wait_for_turn(&mut self, ticket: Ticket, turn_at: u64) {
     let Some(request) = self.requests.get(&ticket) else {
       return;
     };
@@ -512,12 +510,12 @@
     if self.now >= give_up {
       return self.refuse(ticket, Reason::NoServer);
     }
-    let until = request.descriptor.deadline.min(give_up).min(turn);
-    self.wait(ticket, until);
+    let until = request.descriptor.deadline.min(give_up).min(turn_at);
+    self.enqueue(ticket, until);
   }
 
-  /// A send has brought its first event.
-  fn answering(&mut self, ticket: Ticket) {
+  /// Records the first event of the current send.
+  fn record_first_event(&mut self, ticket: Ticket) {
     let now = self.now;
     if let Some(request) = self.requests.get_mut(&ticket) {
       request.first_event_at.get_or_insert(now);
@@ -526,13 +524,13 @@
 
   pub(crate) fn wait_for_server(&mut self, ticket: Ticket) {
     let now = self.now;
-    let silent = self.planner_seen_at > 0 && now > self.planner_seen_at + ISOLATED_MS;
-    let isolated = silent && self.expiry.lost();
+    let planner_silent = self.planner_seen_at > 0 && now > self.planner_seen_at + ISOLATED_MS;
+    let isolated = planner_silent && self.expiry.is_store_lost();
     let Some(request) = self.requests.get_mut(&ticket) else {
       return;
     };
     if isolated && request.descriptor.model.is_some() && request.verdict == Verdict::NotRun {
-      // Nobody hears what is wanted here: another instance can do more.
+      // No planner receives the demand of this instance; another instance may serve the request.
       return self.refuse(ticket, Reason::NoServer);
     }
     let new = request.waiting_since.is_none();
@@ -560,21 +558,21 @@
       .deadline
       .min(give_up)
       .min(now + RECHECK_MS);
-    let wants = request.descriptor.model.is_some();
-    self.wait(ticket, until);
-    if new && wants {
+    let needs_model = request.descriptor.model.is_some();
+    self.enqueue(ticket, until);
+    if new && needs_model {
       self.out.push(Effect::ReportDemand);
     }
   }
 
-  /// Whether a request has run at each server that could take it: its caller would wait for
-  /// nothing.
+  /// Whether a request has already run at each server that could take it, so that waiting would be
+  /// pointless.
   fn failed_everywhere(&self, request: &Request) -> bool {
     let pool = &request.descriptor.pool;
-    let open = |(key, backend): (backend::Key, &Backend)| {
+    let untried = |(key, backend): (backend::Key, &Backend)| {
       backend.spec.pool == *pool && !backend.is_leaving() && !request.tried.contains(&key)
     };
-    !request.tried.is_empty() && !self.backends.iter().any(open)
+    !request.tried.is_empty() && !self.backends.iter().any(untried)
   }
 
   fn send(&mut self, ticket: Ticket, key: backend::Key) {
@@ -586,9 +584,9 @@
     request.waiting_since = None;
     request.sent = self.now;
     request.first_event_at = None;
-    let entry = order(request);
+    let waiting_key = queue_key(request);
     if let Some(tag) = request.tag.take() {
-      self.turns.went(tag);
+      self.fair_queue.went(tag);
     }
     let backend = &mut self.backends[key];
     backend.running += 1;
@@ -597,27 +595,28 @@
     }
     let limited = self.limits.rate(backend.spec.life()).is_some();
     let trial = self.backoffs.send(backend.spec.life(), self.now);
-    let missing = backend.missing_since;
+    let missing_since = backend.missing_since;
     let attempt = Attempt {
       ticket,
       limited,
       trial,
-      missing_ms: missing.map(|since| self.now.saturating_sub(since)),
+      missing_ms: missing_since.map(|since| self.now.saturating_sub(since)),
       backend: key,
       id: backend.spec.id.clone(),
       life: backend.spec.life(),
       address: backend.spec.address,
       number: request.sends,
     };
-    self.waiting.remove(&entry);
+    self.waiting.remove(&waiting_key);
     self.out.push(Effect::Send(attempt));
   }
 
-  /// Refuses a request that crashes servers: at once, and nothing invites its caller back.
+  /// Refuses a request that crashes servers. It gets no Retry-After, so that its caller is not
+  /// invited to retry.
   fn refuse_quarantined(&mut self, ticket: Ticket) {
     let refusal = Refusal {
       reason: Reason::Quarantined,
-      // Under another id it has run.
+      // The same content has run under another request id.
       verdict: Verdict::MayHaveRun,
       retry_after: None,
     };
@@ -625,9 +624,9 @@
     self.forget(ticket);
   }
 
-  /// Until when the holdings published last count, ms.
+  /// Time in milliseconds until which the last published holdings are valid.
   pub(crate) fn holdings_valid_until(&self) -> u64 {
-    self.planner_seen_at + CURRENT_MS
+    self.planner_seen_at + HOLDINGS_VALID_MS
   }
 
   pub(crate) fn engine(&self, pool: &str) -> Option<&Engine> {
@@ -636,13 +635,13 @@
   }
 }
 
-/// The order of those that wait: by rank, then by turns of customers; without customers by who
-/// has the least time left.
-fn order(request: &Request) -> (u8, u64, Ticket) {
-  let ask = &request.descriptor;
+/// Sort key of waiting requests: the priority, then the customer's fair queuing tag or, without a
+/// customer, the deadline.
+fn queue_key(request: &Request) -> (u8, u64, Ticket) {
+  let descriptor = &request.descriptor;
   (
-    ask.priority(),
-    request.tag.unwrap_or(ask.deadline),
-    ask.ticket,
+    descriptor.priority(),
+    request.tag.unwrap_or(descriptor.deadline),
+    descriptor.ticket,
   )
 }
--- a/src/dispatch/choice.rs
+++ b/src/dispatch/choice.rs
@@ -1,4 +1,4 @@
-//! Which servers can take a request, and which of them does.
+//! Selects the backend server for a request.
 
 use super::{State, event::Descriptor};
 use crate::{
@@ -7,75 +7,75 @@
 };
 use rand::Rng;
 
-/// Part of its slots by which a server that may have the prompt's start may be
-/// ahead of the least loaded one, in hundredths. Reading 200 shared tokens again
-/// takes some 7 ms; a request more in a batch delays all others.
-const AHEAD_PERCENT: u32 = 2;
-/// Load in slots that a request between availability zones is worth.
-const ZONE_LOAD: u32 = 1;
+/// A server that may have cached the prompt's prefix is preferred while its load exceeds that of
+/// the least loaded server by at most this share of its slots, in percent. Recomputing 200 shared
+/// tokens takes about 7 ms, while each additional request in a batch delays all others.
+const CACHE_SLACK_PERCENT: u32 = 2;
+/// Load added to servers in other availability zones, in slots.
+const CROSS_ZONE_LOAD: u32 = 1;
 
 impl State {
-  /// Servers that could take a request now, with their load.
+  /// Servers that can take the request now, with their estimated load in slots.
   pub(crate) fn candidates(&self, ticket: Ticket) -> Vec<(backend::Key, u32)> {
-    let mut found: Vec<(backend::Key, u32)> = Vec::new();
+    let mut candidates: Vec<(backend::Key, u32)> = Vec::new();
     let Some(request) = self.requests.get(&ticket) else {
-      return found;
+      return candidates;
     };
-    let ask = &request.descriptor;
+    let descriptor = &request.descriptor;
     for (key, backend) in &self.backends {
-      let fits = backend.spec.pool == ask.pool
+      let fits = backend.spec.pool == descriptor.pool
         && backend.is_usable(self.now)
         && self.is_open(backend)
         && !request.tried.contains(&key)
-        && self.holds_model(backend, ask);
+        && self.holds_model(backend, descriptor);
       if fits {
-        let near = backend.spec.zone == self.zone;
-        let far = if near { 0 } else { ZONE_LOAD };
-        let load = backend.estimated_load(self.instances) + far;
-        found.push((key, load));
+        let same_zone = backend.spec.zone == self.zone;
+        let zone_load = if same_zone { 0 } else { CROSS_ZONE_LOAD };
+        let load = backend.estimated_load(self.instances) + zone_load;
+        candidates.push((key, load));
       }
     }
-    found
+    candidates
   }
 
-  /// The server among some that a request goes to; one that was in so many crashes parts from
-  /// others.
+  /// Picks one of the candidates for a request. A request that was involved in crashes is isolated
+  /// from other requests: its content and the number of crashes determine its server.
   pub(crate) fn pick_backend(
     &mut self,
     ticket: Ticket,
-    found: &[(backend::Key, u32)],
+    candidates: &[(backend::Key, u32)],
     crashes: Option<u32>,
   ) -> Option<backend::Key> {
-    let ask = &self.requests.get(&ticket)?.descriptor;
+    let descriptor = &self.requests.get(&ticket)?.descriptor;
     if let Some(crashes) = crashes {
-      return self.nearest_hash(found, ask.content.seeded_hash(crashes));
+      return self.rendezvous_hash(candidates, descriptor.content.seeded_hash(crashes));
     }
-    let slots = self.engine(&ask.pool).map(|engine| engine.slots);
-    let least = found.iter().map(|(_, load)| *load).min()?;
-    let ahead = slots.map_or(0, |slots| slots * AHEAD_PERCENT / 100);
-    let near = found.iter().filter(|(_, load)| *load <= least + ahead);
-    let near: Vec<(backend::Key, u32)> = near.copied().collect();
+    let slots = self.engine(&descriptor.pool).map(|engine| engine.slots);
+    let least = candidates.iter().map(|(_, load)| *load).min()?;
+    let slack = slots.map_or(0, |slots| slots * CACHE_SLACK_PERCENT / 100);
+    let eligible = candidates.iter().filter(|(_, load)| *load <= least + slack);
+    let eligible: Vec<(backend::Key, u32)> = eligible.copied().collect();
     if slots.is_some() {
-      return self.nearest_hash(&near, ask.affinity);
+      return self.rendezvous_hash(&eligible, descriptor.affinity);
     }
-    let pick = self.rng.random_range(0..near.len());
-    Some(near[pick].0)
+    let index = self.rng.random_range(0..eligible.len());
+    Some(eligible[index].0)
   }
 
-  /// The server that a seed names among some, the same one at all instances.
-  fn nearest_hash(&self, found: &[(backend::Key, u32)], seed: u64) -> Option<backend::Key> {
-    let best = found.iter().max_by_key(|(key, _)| {
+  /// Rendezvous hashing: picks the same candidate for a seed on all instances.
+  fn rendezvous_hash(&self, candidates: &[(backend::Key, u32)], seed: u64) -> Option<backend::Key> {
+    let best = candidates.iter().max_by_key(|(key, _)| {
       let id = self.backends[*key].spec.id.as_bytes();
       xxhash_rust::xxh3::xxh3_64_with_seed(id, seed)
     });
     best.map(|(key, _)| *key)
   }
 
-  pub(crate) fn holds_model(&self, backend: &Backend, ask: &Descriptor) -> bool {
-    match &ask.model {
+  pub(crate) fn holds_model(&self, backend: &Backend, descriptor: &Descriptor) -> bool {
+    match &descriptor.model {
       Some(model) => {
-        let until = self.holdings_valid_until();
-        backend.holds(&model.name, model.adapter.as_deref(), until, self.now)
+        let valid_until = self.holdings_valid_until();
+        backend.holds(&model.name, model.adapter.as_deref(), valid_until, self.now)
       }
       None => true,
     }
--- a/src/dispatch/ending.rs
+++ b/src/dispatch/ending.rs
@@ -1,4 +1,5 @@
-//! The end of a send: what it says of the server, and how its request goes on.
+//! Handles the end of a send: updates the server's state, then retries, finishes or refuses the
+//! request.
 
 use super::{
   State,
@@ -14,15 +15,15 @@
   verdict::Verdict,
 };
 
-/// Pause of a server after its first failure, ms; doubled for each further one.
-const AVOID_MS: u64 = 500;
-/// Longest pause of a server that fails, ms.
-const AVOID_MOST_MS: u64 = 4_000;
-/// Pause of a server that declined because it was full, ms.
-const FULL_MS: u64 = 60;
+/// How long a server gets no requests after its first failure; doubled for each further failure.
+const FAILURE_PAUSE_MS: u64 = 500;
+/// Upper bound of the pause after failures.
+const MAX_FAILURE_PAUSE_MS: u64 = 4_000;
+/// How long a server gets no requests after it declined one because it was full.
+const FULL_PAUSE_MS: u64 = 60;
 
 impl State {
-  pub(super) fn ended(&mut self, ticket: Ticket, end: End) {
+  pub(super) fn on_ended(&mut self, ticket: Ticket, end: End) {
     let Some(request) = self.requests.get_mut(&ticket) else {
       return;
     };
@@ -45,44 +46,44 @@
       self.record_declined(ticket);
     }
     if end == End::Crashed {
-      self.crashed(ticket, key);
+      self.record_crash(ticket, key);
     }
     if end == End::Whole {
-      self.served(ticket);
+      self.record_served(ticket);
     }
-    self.settle(key, model, end);
+    self.finish_send(key, model, end);
     match end {
       End::Whole | End::Failed | End::Left => self.forget(ticket),
       End::Late | End::Unsent => self.refuse(ticket, Reason::TooLate),
-      End::Full | End::Missing | End::Replaced | End::Unreached => self.again(ticket),
-      End::Broken | End::Crashed => self.broken(ticket),
+      End::Full | End::Missing | End::Replaced | End::Unreached => self.retry(ticket),
+      End::Broken | End::Crashed => self.retry_if_repeatable(ticket),
       End::Barred => self.refuse(ticket, Reason::KeyUnknown),
       End::Unsure => self.refuse(ticket, Reason::KeysUnsure),
-      // Nothing arrived anywhere: the next send is no repeat.
+      // The request reached no server, so the next send does not count as a retry.
       End::Leaving | End::Resting => self.dispatch(ticket),
     }
     self.dispatch_waiting();
   }
 
-  fn served(&mut self, ticket: Ticket) {
+  fn record_served(&mut self, ticket: Ticket) {
     if let Some(request) = self.requests.get(&ticket) {
-      self.door.record_served(request.descriptor.content);
+      self.crash_filter.record_served(request.descriptor.content);
     }
   }
 
-  fn broken(&mut self, ticket: Ticket) {
+  fn retry_if_repeatable(&mut self, ticket: Ticket) {
     let Some(request) = self.requests.get(&ticket) else {
       return;
     };
     let route = &request.descriptor.route;
     if route.repeatable() && request.runs < route.attempts {
-      self.again(ticket);
+      self.retry(ticket);
     } else {
       self.refuse(ticket, Reason::ServerFailed);
     }
   }
 
-  fn again(&mut self, ticket: Ticket) {
+  fn retry(&mut self, ticket: Ticket) {
     let Some(request) = self.requests.get(&ticket) else {
       return;
     };
@@ -102,8 +103,8 @@
     }
   }
 
-  /// Takes up what a send's end says of the server.
-  pub(super) fn settle(&mut self, key: backend::Key, model: Option<Model>, end: End) {
+  /// Updates the state of a send's server after the send has ended.
+  pub(super) fn finish_send(&mut self, key: backend::Key, model: Option<Model>, end: End) {
     let now = self.now;
     let Some(backend) = self.backends.get_mut(key) else {
       return;
@@ -125,7 +126,7 @@
       | End::Resting
       | End::Barred
       | End::Unsure => {}
-      End::Full => backend.avoid_until = backend.avoid_until.max(now + FULL_MS),
+      End::Full => backend.avoid_until = backend.avoid_until.max(now + FULL_PAUSE_MS),
       End::Missing => {
         if let Some(model) = &model {
           let name = missing_name(&model.name, model.adapter.as_deref());
@@ -136,9 +137,9 @@
       }
       End::Replaced => backend.replaced = true,
       End::Unreached | End::Broken | End::Crashed => {
-        let pause = AVOID_MS << backend.failures.min(4);
+        let pause = FAILURE_PAUSE_MS << backend.failures.min(4);
         backend.failures += 1;
-        backend.avoid_until = now + pause.min(AVOID_MOST_MS);
+        backend.avoid_until = now + pause.min(MAX_FAILURE_PAUSE_MS);
       }
     }
     if let Some(model) = model {
@@ -156,24 +157,25 @@
     }
   }
 
-  /// Why a send that was decided is not made: what has become known since; none: it is.
+  /// Why a send must be aborted because of something learned since it was decided; `None` if it may
+  /// proceed.
   pub fn abort_reason(&self, attempt: &Attempt) -> Option<End> {
     let backend = self.backends.get(attempt.backend);
     let request = self.requests.get(&attempt.ticket);
-    let kept = |request: &Request| {
+    let quarantined = |request: &Request| {
       self
-        .door
+        .crash_filter
         .is_quarantined(self.now, request.descriptor.content)
     };
-    if request.is_some_and(kept) || backend.is_none_or(Backend::is_leaving) {
+    if request.is_some_and(quarantined) || backend.is_none_or(Backend::is_leaving) {
       return Some(End::Leaving);
     }
-    let rests = backend.is_some_and(|backend| self.rests(backend));
-    rests.then_some(End::Resting)
+    let backing_off = backend.is_some_and(|backend| self.rests(backend));
+    backing_off.then_some(End::Resting)
   }
 
-  /// A run has ended with its server.
-  fn crashed(&mut self, ticket: Ticket, key: backend::Key) {
+  /// Records that a server's process ended while it ran the request.
+  fn record_crash(&mut self, ticket: Ticket, key: backend::Key) {
     let (Some(request), Some(backend)) = (self.requests.get(&ticket), self.backends.get(key))
     else {
       return;
@@ -185,12 +187,12 @@
       run: backend::short_hash(&request.descriptor.id),
       progress_ms: (self.now - since) as u32,
     };
-    self.door.record_crash(self.now, crash);
+    self.crash_filter.record_crash(self.now, crash);
     self.out.push(Effect::ReportCrashes);
   }
 
-  /// Runs that ended with their servers since this was last asked.
+  /// Takes the crashes that were recorded since the last call.
   pub fn take_crashes(&mut self) -> Vec<Crash> {
-    self.door.take_crashes()
+    self.crash_filter.take_crashes()
   }
 }
--- a/src/dispatch/event.rs
+++ b/src/dispatch/event.rs
@@ -1,4 +1,4 @@
-//! What goes into the reducer of routed requests, and what comes out.
+//! Events and effects of the reducer for routed requests.
 
 use crate::{
   backend::{self, Holding, Spec},
@@ -18,30 +18,30 @@
 };
 use std::{net::SocketAddr, sync::Arc};
 
-/// A request, as far as decisions need it.
+/// The properties of a request on which decisions depend.
 #[derive(Clone, Debug)]
 pub struct Descriptor {
   pub ticket: Ticket,
-  /// The caller's own id of the request.
+  /// Request id, chosen by the caller.
   pub id: String,
   pub route: Arc<Route>,
   pub pool: String,
   pub model: Option<Model>,
-  /// Equal for requests that share the start of their prompt.
+  /// Equal for requests that share a prompt prefix.
   pub affinity: u64,
-  /// When it is given up, ms.
+  /// Time in milliseconds at which the request times out.
   pub deadline: u64,
-  /// The same for requests that ask for the same thing.
+  /// Equal for requests with the same content.
   pub content: content::Key,
-  /// Who sent it, where customers are known.
+  /// The authenticated caller, if customers are configured.
   pub caller: Option<Caller>,
 }
 
 impl Descriptor {
-  /// Its rank; 0 is the most urgent.
+  /// Priority of the request; 0 is the most urgent.
   pub fn priority(&self) -> u8 {
-    let own = self.caller.and_then(|caller| caller.priority);
-    own.unwrap_or(self.route.priority)
+    let customer_priority = self.caller.and_then(|caller| caller.priority);
+    customer_priority.unwrap_or(self.route.priority)
   }
 }
 
@@ -53,53 +53,54 @@
   pub id: String,
   pub life: Life,
   pub address: SocketAddr,
-  /// Counts the sends of one request, from 1.
+  /// Number of this send among the sends of its request, from 1.
   pub number: u32,
-  /// The server had named a limit when this was decided.
+  /// Whether the server had announced a rate limit when the send was decided.
   pub limited: bool,
-  /// It tries the server out after its rest.
+  /// Whether this is a trial request to a server after its backoff.
   pub trial: bool,
-  /// Since the server's own entry was missing when this was decided, ms.
+  /// How long the server's entry had been missing when the send was decided; `None` if it was
+  /// present.
   pub missing_ms: Option<u64>,
 }
 
 /// How a send ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum End {
-  /// The caller has the whole answer.
+  /// The caller has received the complete response.
   Whole,
-  /// The server answered with a failure of its own, which the caller has.
+  /// The server responded with an error, which was passed on to the caller.
   Failed,
-  /// The server is full: it did not run the request.
+  /// The server is full and did not run the request.
   Full,
-  /// The server does not hold the model: it did not run the request.
+  /// The server does not hold the model and did not run the request.
   Missing,
-  /// Another server has the address now.
+  /// Another server uses the address now.
   Replaced,
-  /// No connection came up.
+  /// No connection could be established.
   Unreached,
-  /// Its time was over before anything went out.
+  /// The request timed out before anything was sent.
   Unsent,
-  /// The server was found to leave before anything went out.
+  /// Before anything was sent, the server was found to be leaving.
   Leaving,
-  /// The server was found to want rest before anything went out.
+  /// Before anything was sent, the server was found to have requested a backoff.
   Resting,
-  /// Its key was taken away before anything went out.
+  /// The caller's key was revoked before anything was sent.
   Barred,
-  /// Whether its key still counts was not known when it was to go out.
+  /// When the request was to be sent, it was unknown whether the caller's key was still valid.
   Unsure,
-  /// The request may have run; nothing of an answer counts.
+  /// The request may have run, but there is no usable response.
   Broken,
-  /// As `Broken`, and the server's process has ended.
+  /// Like `Broken`, and the server's process has ended.
   Crashed,
-  /// The caller has gone.
+  /// The caller disconnected.
   Left,
-  /// The request's time is over.
+  /// The request timed out after it was sent.
   Late,
 }
 
 impl End {
-  /// The word used as a metric label.
+  /// The name used as a metric label.
   pub fn as_str(self) -> &'static str {
     match self {
       Self::Whole => "whole",
@@ -145,28 +146,30 @@
   }
 }
 
-/// A change of a pool's servers.
+/// A change to a pool's servers.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Change {
-  /// All servers there are.
+  /// The complete list of servers.
   All(Vec<Spec>),
   Set(Spec),
   Removed(String),
-  /// Its entry is there and names no server to use.
+  /// The server's entry exists but does not describe a usable server.
   Invalid(String),
 }
 
-/// Something that happened.
+/// An input of the reducer. Times are in milliseconds.
 #[derive(Clone, Debug)]
 pub enum Event {
   Deployed(Arc<Deployment>),
   Servers(Vec<Change>),
-  /// The planner published what servers hold, and how many instances there are.
+  /// The planner published what servers hold and the number of instances.
   Updated {
     holdings: Vec<Holding>,
-    /// These are all holdings of a group, of so many, not only those that changed.
+    /// The index of a group of servers and the number of groups if `holdings` lists all holdings of
+    /// that group; `None` if it lists only changes.
     group: Option<(u32, u32)>,
-    /// Requests at servers, by their lives' short names; none: not sent this time.
+    /// Number of requests at each server, by the short hash of the server's id and start time;
+    /// `None` if this update does not include it.
     loads: Option<Vec<(u32, u16)>>,
     instances: usize,
   },
@@ -175,91 +178,92 @@
     ticket: Ticket,
     end: End,
   },
-  /// The answer of a request's first send has begun.
+  /// The first response to a request has started.
   ResponseStarted(Ticket),
-  /// A later send has brought its first event.
+  /// A later send has delivered its first event.
   Resumed(Ticket),
-  /// A waiting request's time has come to be looked at again.
+  /// A waiting request is due to be checked again.
   Recheck(Ticket),
-  /// The caller of a waiting request has gone.
+  /// The caller of a waiting request disconnected.
   CallerGone(Ticket),
-  /// The platform's store does not answer this instance.
+  /// The platform's store has stopped responding to this instance.
   StoreLost,
-  /// It does again.
+  /// The store responds to this instance again.
   StoreBack(Outage),
-  /// It came back from an older copy: what it holds may be older than what is known.
+  /// The store was restored from an older copy; its contents may be older than the local state.
   StoreRestored,
-  /// All that it had acknowledged by then is known.
+  /// Everything that the store had acknowledged when it came back has been read.
   StoreCurrent,
-  /// Requests that go to no server from now on: they crash those that run them.
+  /// Requests that are not sent to any server from now on because they crash the servers that run
+  /// them.
   Quarantined(Vec<Quarantined>),
-  /// What is kept from servers was read from the store.
+  /// The quarantined requests were read from the store.
   RecordsRead,
-  /// What all instances used of customers' quotas within the last window.
+  /// Usage of customers' quotas by all instances within the last window.
   QuotaUsage(Sums),
-  /// How far this instance may use customers' quotas, in answer to the report that it sent at
-  /// a time, ms.
+  /// How far this instance may use customers' quotas; the response to the report that it sent at
+  /// `sent`.
   Granted {
     sent: u64,
     grants: Vec<Grant>,
   },
-  /// The answer of a request's send has come, and names so many requests a second that its
-  /// server takes, or none.
+  /// The response to a send has arrived. `rate` is the server's limit in requests per second,
+  /// `None` if the response has no limit.
   LimitAnnounced {
     ticket: Ticket,
     rate: Option<f64>,
   },
-  /// What other instances heard of servers.
+  /// Statements of servers, forwarded by other instances.
   Statements(Vec<Statement>),
-  /// A server said to this instance that it leaves.
+  /// A server announced to this instance that it is leaving.
   Leaving(Life),
-  /// A server turned this instance away, and asks it for so much rest, ms.
+  /// A server rejected a request of this instance and requested a backoff.
   Backoff {
     server: Life,
     backoff_ms: u64,
   },
-  /// A server took a request that tried it out after its rest.
+  /// A server accepted a trial request after its backoff.
   TrialAccepted(Life),
-  /// Requests that may be to blame for crashes, with their turns.
+  /// Requests that may have caused crashes, with the order in which they may run.
   Suspected(Vec<Suspected>),
-  /// A planned stop: nothing new is taken from the first time on, and what waits is
-  /// refused at the second, ms.
+  /// Graceful shutdown: new requests are refused from the first time on, waiting requests at the
+  /// second.
   Stopping(u64, u64),
 }
 
-/// Something to do.
+/// An output of the reducer. Times are in milliseconds.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
   Send(Attempt),
-  /// Wait for a change, at most until then, ms.
+  /// Wait for a change, at most until the given time.
   Wait(Ticket, u64),
   Refuse(Ticket, Refusal),
-  /// The planner should load a model.
+  /// Report demand, because the planner should load a model.
   ReportDemand,
-  /// Crashes wait to be reported.
+  /// Report the recorded crashes.
   ReportCrashes,
-  /// Units of a quota are needed.
+  /// Report quota use and needs to the lease holder.
   RequestQuota,
-  /// A server's entry is missing, and may come back for so long, ms.
+  /// A server's entry is missing; the server is kept for `kept_ms` in case the entry reappears.
   Missing {
     id: String,
     kept_ms: u64,
   },
   /// A server's entry was removed.
   Removed(String),
-  /// A server whose entry was missing did not come back.
+  /// A server was dropped because its missing entry did not reappear.
   Expired(String),
-  /// A server says that it leaves; `own`: to this instance.
+  /// A server announced that it is leaving; `own` if it did so to this instance.
   Leaving {
     id: String,
     own: bool,
   },
-  /// A server asks this instance for so much rest, ms.
+  /// A server requested a backoff from this instance.
   Backoff {
     id: String,
     backoff_ms: u64,
   },
-  /// What is known of a server's limit has changed: requests a second, or none.
+  /// A server's limit changed; `rate` is in requests per second, `None` if it has no limit.
   LimitChanged {
     id: String,
     rate: Option<f64>,
--- a/src/lapse.rs
+++ b/src/lapse.rs
@@ -1,86 +1,88 @@
-//! Which missing entries of backend servers may have lapsed with the platform's store, and how
-//! long they may come back.
+//! Determines which missing entries of backend servers may have expired because of an outage of the
+//! platform's store, and how long they may take to reappear.
 
 use crate::{contact::Outage, feed::SILENT};
 use std::time::Duration;
 
-/// Time for which entries that lapsed while the store was silent may come back once it
-/// answers anybody again, ms: the platform says about two seconds, and what is missing then
-/// is gone.
-const LAPSE_MS: u64 = 2_000;
-/// A departure must not be taken for a lapse any more once an instance counts as in touch with
-/// the store again, 3 s after its calls cease to fail: ms from the begin of the last one.
-const CONTACT_MS: u64 = 2_800;
-/// Servers may have missed a heartbeat while the store did not answer for this long, ms; a
-/// single call that fails says nothing of them.
-const MISSED_MS: u64 = 1_000;
+/// How long entries that expired in an outage may take to reappear once the store responds to any
+/// instance again. The platform states about two seconds; servers whose entries are still missing
+/// then are gone.
+const REAPPEAR_MS: u64 = 2_000;
+/// How long after the start of the last failed call missing entries may still reappear. 3 s after
+/// its calls stop failing, an instance counts as connected to the store again; from then on, a
+/// removed entry must not be mistaken for an expired one.
+const RECONNECT_MS: u64 = 2_800;
+/// Minimum outage in which servers may have missed a heartbeat. A single failed call does not
+/// indicate that.
+const MISSED_HEARTBEAT_MS: u64 = 1_000;
 
-/// One instance's view of the store's silences.
+/// One instance's view of the store's outages. Times are in milliseconds.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Expiry {
-  /// The store does not answer this instance since then, ms.
-  lost: Option<u64>,
-  /// Entries that are found missing may have lapsed.
-  possible: bool,
-  /// Until when missing entries may come back, ms; 0: none is waited for.
+  /// Since when the store has not responded to this instance.
+  lost_since: Option<u64>,
+  /// Whether entries that are found missing may have expired.
+  may_have_expired: bool,
+  /// Until when missing entries may reappear; 0 if none is expected to.
   until: u64,
 }
 
 impl Expiry {
-  /// Whether the store does not answer this instance.
-  pub(crate) fn lost(&self) -> bool {
-    self.lost.is_some()
+  /// Whether the store has stopped responding to this instance.
+  pub(crate) fn is_store_lost(&self) -> bool {
+    self.lost_since.is_some()
   }
 
-  /// The store does not answer this instance any more.
-  pub(crate) fn lose(&mut self, now: u64) {
-    self.lost = Some(now);
+  /// Records that the store has stopped responding to this instance.
+  pub(crate) fn store_lost(&mut self, now: u64) {
+    self.lost_since = Some(now);
   }
 
-  /// The store answers this instance again; `missing`: entries did not come back yet.
-  pub(crate) fn store_back(&mut self, now: u64, silence: &Outage, missing: bool) {
-    let lost_ms = self
-      .lost
+  /// Records that the store responds to this instance again; `missing` if some entries have not
+  /// reappeared yet.
+  pub(crate) fn store_back(&mut self, now: u64, outage: &Outage, missing: bool) {
+    let unreachable_ms = self
+      .lost_since
       .take()
       .map_or(0, |since| now.saturating_sub(since));
-    let long = silence.length >= SILENT;
-    self.possible |= long;
-    // Entries still missing from an earlier silence had no time to come back.
-    if long || missing && lost_ms >= MISSED_MS {
-      self.until = self.until.max(until(now, silence));
+    let long = outage.length >= SILENT;
+    self.may_have_expired |= long;
+    // Entries still missing from an earlier outage had no time to reappear.
+    if long || missing && unreachable_ms >= MISSED_HEARTBEAT_MS {
+      self.until = self.until.max(until(now, outage));
     }
   }
 
-  /// The store came back from a copy, which may lack entries: they are written again as those are
-  /// that lapsed.
-  pub(crate) fn lack(&mut self, now: u64) {
-    self.possible = true;
-    self.until = self.until.max(now + LAPSE_MS);
+  /// Records that the store was restored from a copy. Servers write entries that the copy lacks
+  /// again, like expired ones.
+  pub(crate) fn store_restored(&mut self, now: u64) {
+    self.may_have_expired = true;
+    self.until = self.until.max(now + REAPPEAR_MS);
   }
 
-  /// All that the store had acknowledged when it was back is known: what is removed from now
-  /// on has left.
-  pub(crate) fn close(&mut self) {
-    self.possible = false;
+  /// Records that everything the store had acknowledged when it came back has been read. Servers
+  /// whose entries are removed from now on have left.
+  pub(crate) fn store_current(&mut self) {
+    self.may_have_expired = false;
   }
 
-  /// For how long an entry that is found missing may come back, ms; none: it does not.
+  /// How long a missing entry may still take to reappear; `None` if it is not expected to.
   pub(crate) fn remaining_ms(&self, now: u64) -> Option<u64> {
-    (self.possible && now < self.until).then(|| self.until - now)
+    (self.may_have_expired && now < self.until).then(|| self.until - now)
   }
 
-  /// Whether what is still missing is gone; said once.
+  /// Whether the time to reappear is over for entries that are still missing; true only once.
   pub(crate) fn take_ended(&mut self, now: u64) -> bool {
-    let over = self.until > 0 && !self.lost() && now >= self.until;
-    if over {
+    let ended = self.until > 0 && !self.is_store_lost() && now >= self.until;
+    if ended {
       self.until = 0;
     }
-    over
+    ended
   }
 }
 
-/// Until when entries that lapsed in a silence may come back, ms.
-fn until(now: u64, silence: &Outage) -> u64 {
+/// Time in milliseconds until which entries that expired in an outage may reappear.
+fn until(now: u64, outage: &Outage) -> u64 {
   let after = |ms: u64, since: Duration| (now + ms).saturating_sub(since.as_millis() as u64);
-  after(LAPSE_MS, silence.since_recovery).min(after(CONTACT_MS, silence.since_failure))
+  after(REAPPEAR_MS, outage.since_recovery).min(after(RECONNECT_MS, outage.since_failure))
 }
