--- a/src/hub.rs
+++ b/src/hub.rs
@@ -1,4 +1,4 @@
-//! The routed requests' reducer and the threads that wait for its decisions.
+//! Connects the reducer for routed requests with the threads that wait for its decisions.
 
 use crate::{
   clock::Moment,
@@ -25,16 +25,16 @@
   time::Duration,
 };
 
-/// What a request's thread is to do next.
+/// The next action of a request's thread.
 #[derive(Clone, Debug)]
 pub enum Directive {
   Send(Attempt),
-  /// Look again at this time, ms, or when the bell rings.
+  /// Check again when woken, or at this time in milliseconds.
   Wait(u64),
   Refuse(Refusal),
 }
 
-/// Where a thread finds its directives.
+/// The directives for one thread.
 #[derive(Debug)]
 pub struct Mailbox {
   directives: Mutex<VecDeque<Directive>>,
@@ -42,7 +42,7 @@
 }
 
 impl Mailbox {
-  /// An empty mailbox.
+  /// Creates an empty mailbox.
   pub fn new() -> io::Result<Self> {
     Ok(Self {
       directives: Mutex::default(),
@@ -55,7 +55,7 @@
     directives.push_back(directive);
   }
 
-  /// The newest directive; older ones no longer count.
+  /// Takes the newest directive and discards older ones.
   pub fn take(&self) -> Option<Directive> {
     let mut directives = lock(&self.directives);
     let newest = directives.pop_back();
@@ -64,45 +64,45 @@
   }
 }
 
-/// Who watches what of the store.
+/// Controls which kinds of objects this instance watches in the store itself.
 #[derive(Debug)]
 pub struct Gates {
   pub deployments: Gate,
   pub servers: Gate,
-  /// When the store answered anybody.
+  /// When the store responded to any instance.
   pub reachability: Arc<Reachability>,
 }
 
 impl Gates {
-  fn open() -> Self {
-    let contact = Arc::new(Reachability::default());
+  fn new() -> Self {
+    let reachability = Arc::new(Reachability::default());
     Self {
-      deployments: Gate::open(contact.clone()),
-      servers: Gate::open(contact.clone()),
-      reachability: contact,
+      deployments: Gate::open(reachability.clone()),
+      servers: Gate::open(reachability.clone()),
+      reachability,
     }
   }
 }
 
-/// What the threads of a routing instance share.
+/// State shared by the threads of a routing instance.
 pub struct Hub {
   pub log: Logger,
   pub dialect: Dialect,
   pub pool: Pool,
   pub measures: Measures,
   pub gates: Gates,
-  /// A planned stop has begun.
+  /// Whether a graceful shutdown has started.
   pub stopping: AtomicBool,
-  /// Rings at a planned stop.
+  /// Signalled when a graceful shutdown starts.
   pub stop_waker: Waker,
-  /// Rings when demand should be reported to the planner.
+  /// Signalled when demand should be reported to the planner.
   pub report_waker: Waker,
-  /// Requests under way.
+  /// Number of requests in progress.
   pub active: AtomicUsize,
-  /// Customers' standings, where this instance holds the lease.
+  /// Customers' quota usage, if this instance holds the lease.
   pub standings: Mutex<Vec<Standing>>,
-  /// What is known of keys counts for so long, ms.
-  key_age_ms: AtomicU64,
+  /// How long known keys are trusted after they were last confirmed.
+  max_key_age_ms: AtomicU64,
   started: Moment,
   tickets: AtomicU64,
   state: Mutex<State>,
@@ -110,7 +110,7 @@
 }
 
 impl Hub {
-  /// A hub around a state.
+  /// Creates a hub around a state.
   pub fn new(state: State, dialect: Dialect, log: Logger) -> io::Result<Arc<Self>> {
     let measures = Measures::open().map_err(|error| io::Error::other(error.to_string()))?;
     Ok(Arc::new(Self {
@@ -118,13 +118,13 @@
       dialect,
       pool: Pool::default(),
       measures,
-      gates: Gates::open(),
+      gates: Gates::new(),
       stopping: AtomicBool::new(false),
       stop_waker: Waker::new()?,
       report_waker: Waker::new()?,
       active: AtomicUsize::new(0),
       standings: Mutex::default(),
-      key_age_ms: AtomicU64::new(u64::MAX),
+      max_key_age_ms: AtomicU64::new(u64::MAX),
       started: Moment::now(),
       tickets: AtomicU64::new(0),
       state: Mutex::new(state),
@@ -132,28 +132,28 @@
     }))
   }
 
-  /// Keys count for so long after the moment as of which they are surely known.
+  /// Sets how long keys are trusted after the moment as of which they are known with certainty.
   pub fn set_max_key_age(&self, age: Duration) {
     let ms = age.as_millis() as u64;
-    self.key_age_ms.store(ms, Ordering::Relaxed);
+    self.max_key_age_ms.store(ms, Ordering::Relaxed);
   }
 
-  /// Whether what is known of keys still counts.
+  /// Whether the known keys are recent enough to be trusted.
   pub fn keys_fresh(&self) -> bool {
-    let bound = self.key_age_ms.load(Ordering::Relaxed);
+    let max_age_ms = self.max_key_age_ms.load(Ordering::Relaxed);
     let age = self.gates.deployments.sure_age();
-    bound == u64::MAX || age.is_some_and(|age| age.as_millis() < u128::from(bound))
+    max_age_ms == u64::MAX || age.is_some_and(|age| age.as_millis() < u128::from(max_age_ms))
   }
 
-  /// Whether requests can be served: where customers are known, those with a key too.
+  /// Whether requests can be served, including those with a key if customers are configured.
   pub fn ready(&self) -> bool {
     let state = self.state();
-    let keyed = |deployment: &Arc<Deployment>| deployment.customers.is_some();
-    let keyed = state.deployment.as_ref().is_some_and(keyed);
-    state.ready() && (!keyed || self.keys_fresh()) && !self.stopping.load(Ordering::Relaxed)
+    let with_customers = |deployment: &Arc<Deployment>| deployment.customers.is_some();
+    let has_customers = state.deployment.as_ref().is_some_and(with_customers);
+    state.ready() && (!has_customers || self.keys_fresh()) && !self.stopping.load(Ordering::Relaxed)
   }
 
-  /// Why a request of a caller may not go out any more; none: it may.
+  /// Why a caller's request may not be sent any more; `None` if it may.
   pub fn key_rejection(&self, caller: Option<&Caller>) -> Option<End> {
     let caller = caller?;
     if !self.keys_fresh() {
@@ -164,36 +164,36 @@
     (!book.admits(caller)).then_some(End::Barred)
   }
 
-  /// Milliseconds on the steady clock since the start.
+  /// Milliseconds since the start on the monotonic clock.
   pub fn now(&self) -> u64 {
     self.started.elapsed().as_millis() as u64
   }
 
-  /// The moment of a time on the hub's clock.
+  /// Converts a time on the hub's clock, in milliseconds, to a moment.
   pub fn instant(&self, ms: u64) -> Moment {
     self.started + Duration::from_millis(ms)
   }
 
-  /// A new ticket whose directives go to `mailbox`.
+  /// Creates a ticket whose directives go to `mailbox`.
   pub fn ticket(&self, mailbox: &Arc<Mailbox>) -> Ticket {
     let ticket = Ticket(self.tickets.fetch_add(1, Ordering::Relaxed));
     lock(&self.mailboxes).insert(ticket, mailbox.clone());
     ticket
   }
 
-  /// Ends a ticket.
+  /// Closes a ticket, which gets no further directives.
   pub fn close(&self, ticket: Ticket) {
     lock(&self.mailboxes).remove(&ticket);
   }
 
-  /// The state, for a look.
+  /// Locks the state.
   pub fn state(&self) -> MutexGuard<'_, State> {
     lock(&self.state)
   }
 
-  /// Takes up an event and hands its effects out; `own` needs no bell.
+  /// Applies an event and distributes its effects. The thread of ticket `own` is not woken.
   pub fn apply(&self, event: Event, own: Option<Ticket>) {
-    // Locked before the decision: what is decided later must not be handed out earlier.
+    // Locked before the decision, so that later decisions are not distributed earlier.
     let mailboxes = lock(&self.mailboxes);
     let effects = self.state().reduce(self.now(), event);
     for effect in effects {
@@ -206,7 +206,7 @@
           continue;
         }
         Effect::LimitChanged { id, rate } => {
-          info!(self.log, "server limit"; "server" => id, "rate" => rate);
+          info!(self.log, "server limit changed"; "server" => id, "rate" => rate);
           self.report_waker.wake();
           continue;
         }
@@ -215,11 +215,8 @@
           self.report_waker.wake();
           continue;
         }
-        Effect::Backoff {
-          id,
-          backoff_ms: rest_ms,
-        } => {
-          info!(self.log, "server asks for rest"; "server" => id, "rest_ms" => rest_ms);
+        Effect::Backoff { id, backoff_ms } => {
+          info!(self.log, "server requested a backoff"; "server" => id, "rest_ms" => backoff_ms);
           continue;
         }
         Effect::Missing { id, kept_ms } => {
@@ -227,38 +224,38 @@
           continue;
         }
         Effect::Removed(id) => {
-          info!(self.log, "server is gone"; "server" => id, "why" => "its entry was removed");
+          info!(self.log, "server is gone"; "server" => id, "why" => "entry was removed");
           continue;
         }
         Effect::Expired(id) => {
           info!(self.log, "server is gone"; "server" => id,
-            "why" => "its entry did not come back with the store");
+            "why" => "entry did not reappear after the store outage");
           continue;
         }
       };
       let Some(mailbox) = mailboxes.get(&ticket) else {
         continue;
       };
-      let own = own == Some(ticket);
-      if !own && matches!(directive, Directive::Wait(_)) {
-        // Its thread waits already and looks again by itself.
+      let is_own = own == Some(ticket);
+      if !is_own && matches!(directive, Directive::Wait(_)) {
+        // Its thread is waiting already and checks again on its own.
         continue;
       }
       mailbox.put(directive);
-      if !own {
+      if !is_own {
         mailbox.waker.wake();
       }
     }
   }
 
-  /// Begins a planned stop.
+  /// Starts a graceful shutdown.
   pub fn stop(&self) {
     self.stopping.store(true, Ordering::Relaxed);
     self.stop_waker.wake();
   }
 }
 
-/// Locks what no panic leaves half done.
+/// Locks a mutex and ignores poisoning: no panic leaves its contents inconsistent.
 pub fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
   mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/src/router.rs
+++ b/src/router.rs
@@ -1,4 +1,4 @@
-//! A running routing instance: its ports, its feeds and its planned stop.
+//! A running routing instance: its ports, its store feeds and its graceful shutdown.
 
 use crate::{
   backend::{self, Spec},
@@ -21,26 +21,26 @@
   time::Duration,
 };
 
-/// A balancer takes an instance out after two missed questions, asked each
-/// second; until then it sends new connections.
-const TAKEN_OUT: Duration = Duration::from_millis(3_000);
-/// New requests are refused from this long before a balancer should have taken the
-/// instance out, ms: it may go on sending when too few others are ready.
-const NEW_MARGIN_MS: u64 = 300;
-/// Part of the grace time that is left for the end of the process.
-const GRACE_LEFT: Duration = Duration::from_millis(1_000);
-/// Part of the rest in which requests that still wait are refused.
-const REFUSE_LEFT: Duration = Duration::from_millis(1_000);
-/// Pause between looks whether a planned stop is done.
-const STOP_LOOK: Duration = Duration::from_millis(50);
-/// Part of the bound for keys that were taken away during which what is known of them counts,
-/// in hundredths: the rest is for a request's way here and to a server.
+/// Load balancers remove an instance after two failed health checks, one each second, and send new
+/// connections until then.
+const BALANCER_REMOVAL: Duration = Duration::from_millis(3_000);
+/// New requests are refused from this long before load balancers should have removed the instance:
+/// they may continue to send requests when too few other instances are ready.
+const REMOVAL_MARGIN_MS: u64 = 300;
+/// Part of the grace period reserved for the exit of the process.
+const EXIT_RESERVE: Duration = Duration::from_millis(1_000);
+/// Part of the remaining grace period in which requests that still wait are refused.
+const REFUSAL_RESERVE: Duration = Duration::from_millis(1_000);
+/// Interval at which a graceful shutdown checks whether it is complete.
+const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(50);
+/// Share of the time limit for revoking keys during which known keys are trusted, in percent. The
+/// rest is for a request's way to this instance and to a server.
 const KEY_AGE_PERCENT: u64 = 80;
-/// Faulty entries remembered at the most: a writer of thousands must not take the memory of
-/// an instance.
-const FAULTY_MOST: usize = 256;
-/// Stack of a feed's thread, bytes.
-const STACK: usize = 256 << 10;
+/// Maximum number of invalid entries remembered: a writer of thousands must not exhaust the memory
+/// of an instance.
+const MAX_INVALID_ENTRIES: usize = 256;
+/// Stack size of a feed's thread.
+const STACK_BYTES: usize = 256 << 10;
 
 /// A running routing instance.
 pub struct Router {
@@ -76,42 +76,44 @@
       hub,
       callers,
       health,
-      grace: Duration::from_millis(routing.grace_ms).saturating_sub(GRACE_LEFT),
+      grace: Duration::from_millis(routing.grace_ms).saturating_sub(EXIT_RESERVE),
     })
   }
 
-  /// Takes up settings that were read again; only the budget of repeats changes
-  /// while an instance runs.
+  /// Applies reloaded settings. Only the retry budget can change while an instance runs.
   pub fn reload(&self, settings: Result<Settings, error_stack::Report<settings::Error>>) {
     match settings {
       Ok(settings) => {
         let bound = settings.routing.unwrap_or_default().bound();
-        info!(self.hub.log, "settings read again"; "retry_ratio" => bound.ratio,
+        info!(self.hub.log, "settings reloaded"; "retry_ratio" => bound.ratio,
           "retry_slack" => bound.slack, "retry_window_ms" => bound.window_ms);
         self.hub.state().retry_bound = bound;
       }
       Err(error) => {
-        warn!(self.hub.log, "settings are faulty, the last good ones stay in force";
+        warn!(self.hub.log, "settings are invalid; keeping the previous ones";
           "error" => %error);
       }
     }
   }
 
-  /// Stops as planned: no new callers, then the end of those that are here.
+  /// Shuts down gracefully: waits until load balancers send no new callers and the active requests
+  /// have ended.
   pub fn stop(&self) {
-    let began = Moment::now();
+    let started = Moment::now();
     let active = || self.hub.active.load(Ordering::Relaxed);
     info!(self.hub.log, "stopping"; "active" => active());
     self.hub.stop();
-    let last = self.grace.saturating_sub(REFUSE_LEFT).as_millis() as u64;
+    let refuse_after_ms = self.grace.saturating_sub(REFUSAL_RESERVE).as_millis() as u64;
     let now = self.hub.now();
-    let new_until = now + TAKEN_OUT.as_millis() as u64 - NEW_MARGIN_MS;
-    self.hub.apply(Event::Stopping(new_until, now + last), None);
-    while began.elapsed() < TAKEN_OUT || (active() > 0 && began.elapsed() < self.grace) {
-      thread::sleep(STOP_LOOK);
+    let accept_until = now + BALANCER_REMOVAL.as_millis() as u64 - REMOVAL_MARGIN_MS;
+    self
+      .hub
+      .apply(Event::Stopping(accept_until, now + refuse_after_ms), None);
+    while started.elapsed() < BALANCER_REMOVAL || (active() > 0 && started.elapsed() < self.grace) {
+      thread::sleep(STOP_CHECK_INTERVAL);
     }
     info!(self.hub.log, "stopped"; "active" => active(),
-      "took_ms" => began.elapsed().as_millis() as u64);
+      "took_ms" => started.elapsed().as_millis() as u64);
   }
 }
 
@@ -119,7 +121,7 @@
   let (hub, edge) = (hub.clone(), edge.clone());
   let builder = thread::Builder::new()
     .name("deployments".into())
-    .stack_size(STACK);
+    .stack_size(STACK_BYTES);
   builder.spawn(move || {
     let gate = &hub.gates.deployments;
     feed::follow(
@@ -139,7 +141,7 @@
             hub.measures.lost(edge.kinds.deployments);
             return false;
           }
-          // The feed of the servers reports the store.
+          // The servers' feed reports the state of the store.
           feed::Event::Back(_) | feed::Event::Returned | feed::Event::Current => return false,
         };
         objects
@@ -153,11 +155,15 @@
   Ok(())
 }
 
-/// Takes up the deployment in an object; whether it is newer than the one in force.
+/// Applies the deployment in an object. Returns whether it is newer than the current one.
 fn deploy(hub: &Hub, edge: &Edge, object: &Object) -> bool {
   match (edge.deployment)(object) {
     Ok(Some(deployment)) => {
-      let version = hub.state().deployment.as_ref().map(|known| known.version);
+      let version = hub
+        .state()
+        .deployment
+        .as_ref()
+        .map(|current| current.version);
       if version >= Some(deployment.version) {
         return false;
       }
@@ -168,7 +174,7 @@
     }
     Ok(None) => false,
     Err(fault) => {
-      warn!(hub.log, "configuration is faulty, the last good one stays in force";
+      warn!(hub.log, "configuration is invalid; keeping the previous one";
         "object" => &object.name, "revision" => %object.revision, "fault" => fault);
       false
     }
@@ -179,31 +185,32 @@
   let (hub, edge) = (hub.clone(), edge.clone());
   let builder = thread::Builder::new()
     .name("servers".into())
-    .stack_size(STACK);
+    .stack_size(STACK_BYTES);
   builder.spawn(move || {
     let gate = &hub.gates.servers;
-    let mut faulty = Faulty::default();
-    let matters = |object: &Object, removed: bool| matters(&hub, &edge, object, removed);
+    let mut invalid_entries = InvalidEntries::default();
+    let affects_others =
+      |object: &Object, removed: bool| affects_others(&hub, &edge, object, removed);
     feed::follow(
       &edge.store,
       edge.kinds.servers,
       gate,
       &hub.log,
-      matters,
+      affects_others,
       |change| {
         let mut decode = |object: &Object| match (edge.server)(object) {
           Ok(spec) => Change::Set(spec),
           Err(fault) => {
-            if faulty.insert(object) {
+            if invalid_entries.insert(object) {
               hub.measures.faulty(edge.kinds.servers);
-              warn!(hub.log, "entry is faulty and names no server"; "server" => &object.name,
+              warn!(hub.log, "server entry is invalid and is ignored"; "server" => &object.name,
               "revision" => %object.revision, "fault" => fault);
             }
             Change::Invalid(object.name.clone())
           }
         };
         let changes = match change {
-          feed::Event::All(objects) => listed(objects.iter().map(decode).collect()),
+          feed::Event::All(objects) => list_changes(objects.iter().map(decode).collect()),
           feed::Event::Some(objects) => objects
             .iter()
             .map(|(object, removed)| match removed {
@@ -216,8 +223,8 @@
             hub.apply(Event::StoreLost, None);
             return false;
           }
-          feed::Event::Back(silence) => {
-            hub.apply(Event::StoreBack(silence), None);
+          feed::Event::Back(outage) => {
+            hub.apply(Event::StoreBack(outage), None);
             return false;
           }
           feed::Event::Returned => {
@@ -229,31 +236,35 @@
             return false;
           }
         };
-        let matters = changes.iter().filter(|change| note(&hub, change)).count() > 0;
+        let affects_others = changes
+          .iter()
+          .filter(|change| log_change(&hub, change))
+          .count()
+          > 0;
         hub.apply(Event::Servers(changes), None);
         let known: Vec<backend::Key> = hub.state().by_id.values().copied().collect();
         hub.pool.retain(|key| known.contains(&key));
-        matters
+        affects_others
       },
     )
   })?;
   Ok(())
 }
 
-/// Whether others need a server's entry that has changed: what it holds they learn otherwise.
-fn matters(hub: &Hub, edge: &Edge, object: &Object, removed: bool) -> bool {
+/// Whether other instances need a server's changed entry. Its holdings reach them by other means.
+fn affects_others(hub: &Hub, edge: &Edge, object: &Object, removed: bool) -> bool {
   if removed {
     return true;
   }
   let state = hub.state();
   match (edge.server)(object) {
-    Ok(spec) => !known(&state, &spec),
+    Ok(spec) => !is_known(&state, &spec),
     Err(_) => state.by_id.contains_key(&object.name),
   }
 }
 
-/// The changes that a whole list makes, of those that its entries make.
-fn listed(entries: Vec<Change>) -> Vec<Change> {
+/// Combines the changes for the entries of a complete list into the changes for the list.
+fn list_changes(entries: Vec<Change>) -> Vec<Change> {
   let mut specs = Vec::new();
   let mut changes = Vec::new();
   for entry in entries {
@@ -266,34 +277,33 @@
   changes
 }
 
-/// Revisions of entries that were found faulty, by name: each is logged once, not with every
-/// list.
+/// Revisions of invalid entries by name, so that each is logged once and not with every list.
 #[derive(Default)]
-struct Faulty {
+struct InvalidEntries {
   revisions: HashMap<String, Revision>,
 }
 
-impl Faulty {
-  /// Remembers an entry; whether it is new.
+impl InvalidEntries {
+  /// Records an entry. Returns whether it is new.
   fn insert(&mut self, object: &Object) -> bool {
-    if self.revisions.len() >= FAULTY_MOST {
+    if self.revisions.len() >= MAX_INVALID_ENTRIES {
       self.revisions.clear();
     }
-    let known = self.revisions.insert(object.name.clone(), object.revision);
-    known != Some(object.revision)
+    let previous = self.revisions.insert(object.name.clone(), object.revision);
+    previous != Some(object.revision)
   }
 }
 
-/// Logs what has changed of a server besides its holdings; whether anything has.
-fn note(hub: &Hub, change: &Change) -> bool {
+/// Logs changes of servers other than to their holdings. Returns whether there are any.
+fn log_change(hub: &Hub, change: &Change) -> bool {
   let state = hub.state();
   match change {
     Change::All(specs) => {
-      info!(hub.log, "servers read"; "count" => specs.len());
-      specs.len() != state.by_id.len() || !specs.iter().all(|spec| known(&state, spec))
+      info!(hub.log, "server list read"; "count" => specs.len());
+      specs.len() != state.by_id.len() || !specs.iter().all(|spec| is_known(&state, spec))
     }
     Change::Set(spec) => {
-      if known(&state, spec) {
+      if is_known(&state, spec) {
         return false;
       }
       info!(hub.log, "server"; "server" => &spec.id, "pool" => &spec.pool,
@@ -305,13 +315,13 @@
   }
 }
 
-/// Whether a server is known as it states itself, its holdings apart.
-fn known(state: &State, spec: &Spec) -> bool {
+/// Whether a server is already known with this stage and address; its holdings are ignored.
+fn is_known(state: &State, spec: &Spec) -> bool {
   let Some(key) = state.by_id.get(&spec.id) else {
     return false;
   };
   let backend = &state.backends[*key];
-  // An entry that is back is a change for instances that miss it too.
+  // An entry that reappears is also a change for instances that lack it.
   let same = backend.spec.stage == spec.stage && backend.spec.address == spec.address;
   same && backend.missing_since.is_none()
 }
