--- a/src/contact.rs
+++ b/src/contact.rs
@@ -1,5 +1,5 @@
-//! When the platform's store answered anybody, as far as this instance knows: it
-//! distinguishes a silence of the store from one's own.
+//! Tracks when the platform's store responded to any instance, as far as this instance knows, to
+//! distinguish an outage of the store from a lost connection of this instance.
 
 use crate::{clock::Moment, hub::lock};
 use std::{
@@ -8,43 +8,43 @@
   time::Duration,
 };
 
-/// Shorter times without an answer say nothing of servers: they write their entries about
-/// every second.
-const LEAST: Duration = Duration::from_millis(1_000);
-/// Times without an answer that are kept: longer than any row of failed calls needs.
-const GAPS: usize = 8;
-/// Failed calls that are kept.
-const FAILURES: usize = 32;
+/// Shorter gaps without a response say nothing about servers, which write their entries about every
+/// second.
+const MIN_GAP: Duration = Duration::from_millis(1_000);
+/// Maximum number of gaps kept, more than any series of failed calls needs.
+const MAX_GAPS: usize = 8;
+/// Maximum number of failed calls kept.
+const MAX_FAILURES: usize = 32;
 
-/// A time in which the store answered nobody.
+/// A period in which the store responded to no instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Gap {
   from: Moment,
   to: Moment,
 }
 
-/// The longest time in which the store answered nobody, beside some failed calls.
+/// The longest period in which the store responded to no instance, during a series of failed calls.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Outage {
   pub length: Duration,
-  /// Since somebody was answered again.
+  /// Time since an instance received a response again.
   pub since_recovery: Duration,
-  /// Since this instance began the last call that failed before it.
+  /// Time since this instance started the last failed call before that.
   pub since_failure: Duration,
 }
 
 #[derive(Debug, Default)]
 struct State {
-  /// The last answer to anybody.
-  answered: Option<Moment>,
-  /// The last answer to this instance, or to the one whose progress it goes by.
-  reached: Option<Moment>,
+  /// The last response to any instance.
+  last_response: Option<Moment>,
+  /// The last response to this instance, or to the instance whose progress it follows.
+  last_own_response: Option<Moment>,
   gaps: VecDeque<Gap>,
-  /// When this instance began calls that failed.
+  /// When this instance started calls that failed.
   failures: VecDeque<Moment>,
 }
 
-/// What is known of the store's answers.
+/// What is known of the store's responses.
 #[derive(Debug, Default)]
 pub struct Reachability {
   state: Mutex<State>,
@@ -52,22 +52,19 @@
 }
 
 impl State {
-  fn hear(&mut self, at: Moment) {
-    match self.answered {
-      Some(before) if at <= before => self.split(at),
-      Some(before) => {
-        self.keep(Gap {
-          from: before,
-          to: at,
-        });
-        self.answered = Some(at);
+  fn record(&mut self, at: Moment) {
+    match self.last_response {
+      Some(last) if at <= last => self.split_gap(at),
+      Some(last) => {
+        self.push_gap(Gap { from: last, to: at });
+        self.last_response = Some(at);
       }
-      None => self.answered = Some(at),
+      None => self.last_response = Some(at),
     }
   }
 
-  /// An answer becomes known within a time that passed for one without any.
-  fn split(&mut self, at: Moment) {
+  /// Splits a gap when a response within it becomes known later.
+  fn split_gap(&mut self, at: Moment) {
     let within = |gap: &Gap| gap.from < at && at < gap.to;
     let Some(index) = self.gaps.iter().position(within) else {
       return;
@@ -75,28 +72,28 @@
     let Some(gap) = self.gaps.remove(index) else {
       return;
     };
-    self.keep(Gap { to: at, ..gap });
-    self.keep(Gap { from: at, ..gap });
+    self.push_gap(Gap { to: at, ..gap });
+    self.push_gap(Gap { from: at, ..gap });
   }
 
-  fn keep(&mut self, gap: Gap) {
-    if gap.to - gap.from < LEAST {
+  fn push_gap(&mut self, gap: Gap) {
+    if gap.to - gap.from < MIN_GAP {
       return;
     }
     self.gaps.push_back(gap);
-    if self.gaps.len() > GAPS {
+    if self.gaps.len() > MAX_GAPS {
       self.gaps.pop_front();
     }
   }
 
-  fn silence(&self, gap: Gap) -> Outage {
-    let failed = |began: &&Moment| **began <= gap.to;
-    let last = self.failures.iter().filter(failed).max();
+  fn outage(&self, gap: Gap) -> Outage {
+    let before_end = |started: &&Moment| **started <= gap.to;
+    let last = self.failures.iter().filter(before_end).max();
     let last = last.copied().unwrap_or(gap.from);
-    let within = self.failures.iter().filter(failed);
-    let within = within.filter(|began| **began >= gap.from).count();
+    let within = self.failures.iter().filter(before_end);
+    let within = within.filter(|started| **started >= gap.from).count();
     Outage {
-      // A single call may be lost on its way, and says nothing of the time before it.
+      // A single call may have been lost in transit and says nothing about the time before it.
       length: match within {
         0 | 1 => gap.to - last.max(gap.from),
         _ => gap.to - gap.from,
@@ -108,52 +105,53 @@
 }
 
 impl Reachability {
-  /// The store has answered this instance, or the one whose progress it goes by.
+  /// Records a response to this instance, or to the instance whose progress it follows.
   pub fn record_response(&self, at: Moment) {
     let mut state = lock(&self.state);
-    state.hear(at);
-    state.reached = state.reached.max(Some(at));
+    state.record(at);
+    state.last_own_response = state.last_own_response.max(Some(at));
     self.changed.notify_all();
   }
 
-  /// The store has answered another instance.
+  /// Records a response to another instance.
   pub fn record_peer_response(&self, at: Moment) {
-    lock(&self.state).hear(at);
+    lock(&self.state).record(at);
   }
 
-  /// A call that this instance began at a moment has failed.
-  pub fn record_failure(&self, began: Moment) {
+  /// Records that a call of this instance has failed.
+  pub fn record_failure(&self, started: Moment) {
     let mut state = lock(&self.state);
-    state.failures.push_back(began);
-    if state.failures.len() > FAILURES {
+    state.failures.push_back(started);
+    if state.failures.len() > MAX_FAILURES {
       state.failures.pop_front();
     }
   }
 
-  /// Since the store last answered anybody; none: never.
+  /// Time since the last response to any instance; `None` if there was none.
   pub fn age(&self) -> Option<Duration> {
-    lock(&self.state).answered.map(Moment::elapsed)
+    lock(&self.state).last_response.map(Moment::elapsed)
   }
 
-  /// Whether the store has answered since a moment.
+  /// Whether the store has responded since a moment.
   pub fn responded_since(&self, moment: Moment) -> bool {
-    lock(&self.state).reached > Some(moment)
+    lock(&self.state).last_own_response > Some(moment)
   }
 
-  /// Waits for an answer after a moment, at most for a time.
-  pub fn wait_for_response(&self, moment: Moment, most: Duration) {
+  /// Waits for a response after a moment, at most for `timeout`.
+  pub fn wait_for_response(&self, moment: Moment, timeout: Duration) {
     let state = lock(&self.state);
-    let waits = |state: &mut State| state.reached <= Some(moment);
-    // Both ends of the wait are the same to the caller, and no holder of the lock panics.
-    let _ = self.changed.wait_timeout_while(state, most, waits);
+    let waiting = |state: &mut State| state.last_own_response <= Some(moment);
+    // The caller treats a response and a timeout alike, and no thread panics while holding the
+    // lock.
+    let _ = self.changed.wait_timeout_while(state, timeout, waiting);
   }
 
-  /// The longest time without an answer to anybody that had not ended before a moment.
+  /// The longest period without a response to any instance that had not ended before a moment.
   pub fn longest_outage(&self, since: Moment) -> Outage {
     let state = lock(&self.state);
     let gaps = state.gaps.iter().filter(|gap| gap.to >= since);
-    let silences = gaps.map(|gap| state.silence(*gap));
-    let longest = silences.max_by_key(|silence| silence.length);
+    let outages = gaps.map(|gap| state.outage(*gap));
+    let longest = outages.max_by_key(|outage| outage.length);
     longest.unwrap_or_else(|| Outage {
       since_failure: since.elapsed(),
       ..Outage::default()
--- a/src/deployment.rs
+++ b/src/deployment.rs
@@ -1,35 +1,34 @@
-//! The deployment in force: routes, pools of backend servers, and what callers
-//! may send.
+//! The current deployment: routes, pools of backend servers and limits on requests.
 
 use crate::{customer::Book, route::Route};
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
-/// A model's checkpoint and what loading it takes.
+/// A model's checkpoint with its memory use and load times.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Checkpoint {
   pub memory_mb: u64,
-  /// Load time from the server's memory copy, its disk, and the weight store, ms.
+  /// Load times from the server's memory copy, its disk and the weight store.
   pub warm_ms: u64,
   pub disk_ms: u64,
   pub remote_ms: u64,
   /// Names of its adapters.
   pub adapters: Vec<String>,
-  /// Memory of one adapter, MB.
+  /// Memory of one adapter.
   pub adapter_mb: u64,
 }
 
-/// What a pool's model engines have in common.
+/// Properties that the model engines of a pool share.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Engine {
-  /// Requests run at once.
+  /// Number of requests that run concurrently.
   pub slots: u32,
-  /// Memory for running requests and cached prompts, tokens.
+  /// Memory for running requests and cached prompts.
   pub kv_tokens: u64,
-  /// Memory for models and adapters, MB.
+  /// Memory for models and adapters.
   pub memory_mb: u64,
-  /// Adapters held at once.
+  /// Number of adapters held at the same time.
   pub adapter_slots: u32,
-  /// Loads a second that the weight store allows to the whole pool.
+  /// Loads per second that the weight store allows for the whole pool.
   pub loads_per_s: f64,
   pub models: BTreeMap<String, Checkpoint>,
 }
@@ -37,23 +36,23 @@
 /// Backend servers of one kind.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Pool {
-  /// None: a plain service.
+  /// `None` for a plain service.
   pub engine: Option<Arc<Engine>>,
 }
 
-/// What callers may send, and how long they may take.
+/// Size and time limits on callers' requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Bounds {
   pub head_bytes: usize,
   pub body_bytes: usize,
-  /// From a request's first byte to the end of its head.
+  /// Maximum time from a request's first byte to the end of its head.
   pub head_timeout: Duration,
-  /// Between two requests of a connection.
+  /// Maximum time between two requests on a connection.
   pub idle_timeout: Duration,
 }
 
 impl Default for Bounds {
-  /// Until a configuration is known; the values operators use as a rule.
+  /// Used until a configuration is known: the values that operators usually set.
   fn default() -> Self {
     Self {
       head_bytes: 16 << 10,
@@ -71,6 +70,6 @@
   pub routes: Vec<Arc<Route>>,
   pub pools: BTreeMap<String, Pool>,
   pub bounds: Bounds,
-  /// Who may call; none: requests need no key.
+  /// Customers who may send requests; `None` if requests need no key.
   pub customers: Option<Arc<Book>>,
 }
--- a/src/route.rs
+++ b/src/route.rs
@@ -2,60 +2,60 @@
 
 use serde::{Deserialize, Serialize};
 
-/// What may be done with a request of a route a second time.
+/// Whether a request of a route may run a second time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Repeat {
-  /// It runs at most once.
+  /// A request runs at most once.
   Never,
-  /// It may run again.
+  /// A request may run again.
   Always,
 }
 
-/// A stream of events as the answer.
+/// Properties of a response that is a stream of events.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Stream {
-  /// Another backend server may go on after the last event delivered.
+  /// Whether another backend server may continue after the last delivered event.
   pub resumable: bool,
-  /// Longest pause between events of an answer in time, ms.
+  /// Longest pause between events of a timely response.
   pub gap_ms: u64,
 }
 
-/// A pool's part of a route's requests.
+/// A pool's share of a route's requests.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Part {
   pub pool: String,
   pub weight: u32,
 }
 
-/// A route.
+/// Assigns the requests for a host and path prefix to pools of backend servers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "camelCase")]
 pub struct Route {
   pub name: String,
   pub host: String,
-  /// Starts and ends with a slash.
+  /// Path prefix; starts and ends with a slash.
   pub prefix: String,
   pub parts: Vec<Part>,
   pub repeat: Repeat,
   #[serde(default)]
   pub stream: Option<Stream>,
-  /// Backend servers that one request may be sent to.
+  /// Maximum number of backend servers that one request may be sent to.
   pub attempts: u32,
-  /// Longest time a request is held, ms.
+  /// Longest time until a request is answered or refused.
   pub timeout_ms: u64,
-  /// Time within which an answer, or a stream's first event, is worth most, ms.
+  /// Target latency of a response or of a stream's first event.
   pub objective_ms: u64,
   /// 0 is the most urgent.
   pub priority: u8,
-  /// Its requests need no customer's key.
+  /// Whether requests need no customer's key.
   #[serde(default)]
   pub public: bool,
 }
 
 impl Route {
-  /// Whether a run that broke off may be begun again.
+  /// Whether a run that was interrupted may be started again.
   pub fn repeatable(&self) -> bool {
     match self.stream {
       Some(stream) => stream.resumable,
@@ -63,28 +63,28 @@
     }
   }
 
-  /// The pool for a request; `draw` is any number.
-  pub fn pool(&self, draw: u64) -> Option<&str> {
+  /// The pool for a request, chosen by weight; `hash` can be any number.
+  pub fn pool(&self, hash: u64) -> Option<&str> {
     let total: u64 = self.parts.iter().map(|part| u64::from(part.weight)).sum();
-    let mut left = draw % total.max(1);
+    let mut remainder = hash % total.max(1);
     for part in &self.parts {
       let weight = u64::from(part.weight);
-      if left < weight {
+      if remainder < weight {
         return Some(&part.pool);
       }
-      left -= weight;
+      remainder -= weight;
     }
     self.parts.first().map(|part| part.pool.as_str())
   }
 
-  /// The first fault of the route, naming field and value.
+  /// The first invalid field of the route and its value.
   pub fn fault(&self) -> Option<String> {
     if !self.prefix.starts_with('/') || !self.prefix.ends_with('/') {
       let text = "does not start and end with a slash";
       return Some(format!("prefix: `{}` {text}", self.prefix));
     }
     if self.parts.is_empty() {
-      return Some(format!("parts: route `{}` has none", self.name));
+      return Some(format!("parts: route `{}` has no parts", self.name));
     }
     if self.attempts == 0 {
       return Some("attempts: `0` is not positive".into());
@@ -93,7 +93,7 @@
   }
 }
 
-/// The route of a request: of the host's routes the longest prefix of its path.
+/// The route of a request: the host's route with the longest matching path prefix.
 pub fn find<'a>(
   routes: &'a [std::sync::Arc<Route>],
   host: &str,
