--- a/src/dispatch/event.rs
+++ b/src/dispatch/event.rs
@@ -2,7 +2,6 @@
 
 use crate::{
   backend::{self, Holding, Spec},
-  contact::Outage,
   content,
   crash::{Quarantined, Suspected},
   customer::Caller,
@@ -10,6 +9,7 @@
   deployment::Deployment,
   life::Life,
   quota::{Grant, Sums},
+  reachability::Outage,
   refusal::Refusal,
   request::Ticket,
   route::Route,
--- a/src/lapse.rs
+++ b/src/expiry.rs
@@ -1,7 +1,7 @@
 //! Determines which missing entries of backend servers may have expired because of an outage of the
 //! platform's store, and how long they may take to reappear.
 
-use crate::{contact::Outage, feed::SILENT};
+use crate::{feed::SILENT, reachability::Outage};
 use std::time::Duration;
 
 /// How long entries that expired in an outage may take to reappear once the store responds to any
--- a/src/feed/gate.rs
+++ b/src/feed/gate.rs
@@ -2,7 +2,7 @@
 //! others asks by itself when that one's updates are old or name a change that it lacks.
 
 use crate::{
-  clock::Moment, contact::Reachability, feed::Batch, hub::lock, socket::Waker, store::Object,
+  clock::Moment, feed::Batch, hub::lock, reachability::Reachability, socket::Waker, store::Object,
   store::Revision,
 };
 use serde::{Deserialize, Serialize};
--- a/src/feed/mod.rs
+++ b/src/feed/mod.rs
@@ -8,7 +8,7 @@
 pub use gate::{Gate, Progress};
 
 use crate::clock::Moment;
-use crate::contact::Outage;
+use crate::reachability::Outage;
 use crate::store::{Error, Object, Revision, Store};
 use gate::Next;
 use slog::{Logger, info, warn};
--- a/src/hub.rs
+++ b/src/hub.rs
@@ -2,13 +2,13 @@
 
 use crate::{
   clock::Moment,
-  contact::Reachability,
   customer::{Caller, Standing},
   deployment::Deployment,
   dialect::Dialect,
   dispatch::{Attempt, Effect, End, Event, State},
   feed::Gate,
   measures::Measures,
+  reachability::Reachability,
   refusal::Refusal,
   request::Ticket,
   socket::Waker,
--- a/src/listing.rs
+++ b/src/listing.rs
@@ -3,8 +3,8 @@
 
 use crate::{
   backend::{self, Backend, Holding, Spec, Stage},
-  contact::Outage,
   dispatch::{Change, Effect, State},
+  reachability::Outage,
 };
 
 /// A holding published for a server without an entry is kept for this long, ms: its entry
--- a/tests/contact.rs
+++ b/tests/contact.rs
@@ -1,6 +1,6 @@
 //! What answers of the store, to this instance and to others, say of its silence.
 
-use bendsaddle::{clock::Moment, contact::Reachability};
+use bendsaddle::{clock::Moment, reachability::Reachability};
 use std::{sync::Arc, thread, time::Duration};
 
 fn ms(ms: u64) -> Duration {
--- a/tests/dispatch.rs
+++ b/tests/dispatch.rs
@@ -4,10 +4,10 @@
 
 use bendsaddle::{
   backend::{Holding, Spec, Stage, short_hash},
-  contact::Outage,
   demand::Model,
   deployment::{Deployment, Engine},
   dispatch::{Change, Descriptor, Effect, End, Event, State},
+  reachability::Outage,
   refusal::Reason,
   request::Ticket,
   retry::Budget,
