--- a/src/cold.rs
+++ b/src/cold.rs
@@ -200,7 +200,7 @@
         .entry((pool.clone(), model.clone()))
         .or_insert_with(|| Demand {
           priority: deferral.priority,
-          ..Demand::ahead(pool, model.clone())
+          ..Demand::preload(pool, model.clone())
         });
       entry.add(Wait {
         requests: deferral.callers,
@@ -240,7 +240,7 @@
       let age_ms = now.saturating_sub(request.arrived);
       let entry = demand.entry(key).or_insert_with(|| Demand {
         priority: *priority,
-        ..Demand::ahead(&request.descriptor.pool, model.clone())
+        ..Demand::preload(&request.descriptor.pool, model.clone())
       });
       entry.add(remaining_time(request, now));
       entry.priority = entry.priority.min(*priority);
--- a/src/command.rs
+++ b/src/command.rs
@@ -12,7 +12,7 @@
 
 impl Act {
   /// The word used in logs and as a metric label.
-  pub fn word(self) -> &'static str {
+  pub fn as_str(self) -> &'static str {
     match self {
       Self::Load => "load",
       Self::Unload => "unload",
--- a/src/demand.rs
+++ b/src/demand.rs
@@ -43,7 +43,7 @@
 
 impl Demand {
   /// Demand of nobody, for a load ahead of it.
-  pub fn ahead(pool: &str, model: Model) -> Self {
+  pub fn preload(pool: &str, model: Model) -> Self {
     Self {
       pool: pool.into(),
       model,
--- a/src/dispatch.rs
+++ b/src/dispatch.rs
@@ -190,11 +190,11 @@
     self.now = now;
     // Entries that this event restores must not be dropped first.
     if !matches!(event, Event::Servers(_)) {
-      self.drop_lapsed();
+      self.drop_missing();
     }
     match event {
       Event::Deployed(deployment) => self.on_deployed(deployment),
-      Event::Servers(changes) => self.servers(changes),
+      Event::Servers(changes) => self.update_servers(changes),
       Event::Updated {
         holdings,
         group,
@@ -204,9 +204,9 @@
         self.instances = instances.max(1);
         self.planner_seen_at = now;
         if let Some(loads) = loads {
-          self.loads(&loads);
+          self.update_loads(&loads);
         }
-        self.take_holdings(holdings, group);
+        self.receive_holdings(holdings, group);
       }
       Event::Arrived(descriptor) => self.on_arrived(descriptor),
       Event::Ended { ticket, end } => self.on_ended(ticket, end),
--- a/src/edge.rs
+++ b/src/edge.rs
@@ -31,11 +31,11 @@
   pub kinds: Kinds,
   pub store: Store,
   /// The deployment in an object; none for an object that is none.
-  pub deployment: fn(&Object) -> Result<Option<Deployment>, String>,
+  pub parse_deployment: fn(&Object) -> Result<Option<Deployment>, String>,
   /// The backend server in an object.
-  pub server: fn(&Object) -> Result<Spec, String>,
+  pub parse_server: fn(&Object) -> Result<Spec, String>,
   /// Sends an order to a backend server, once, before a moment or not at all.
-  pub order: Box<Order>,
+  pub send_order: Box<Order>,
   /// Asks the server with this id what it holds.
-  pub report: Box<Report>,
+  pub query_inventory: Box<Report>,
 }
--- a/src/exchange.rs
+++ b/src/exchange.rs
@@ -5,11 +5,11 @@
   clock::Moment,
   dispatch::Event,
   feed::Gate,
-  lease::promise::Question,
+  lease::promise::Request,
   message::{Kind, Message, StoreAge, Update},
   placement::plan::{Publication, Report},
   planner::Planner,
-  replication::{Fit, Known, parts},
+  replication::{Fit, Position, parts},
 };
 use slog::{info, warn};
 use std::{collections::BTreeSet, net::SocketAddr, time::Duration};
@@ -40,7 +40,7 @@
     }
     let holding = group.holding;
     let successor = !holding && term != group.known.term;
-    self.hear_store(update.store);
+    self.receive_store_age(update.store);
     self.receive_quarantine(now, &update.quarantined, from);
     if let Some(sums) = update.sums.take() {
       self.hub.apply(Event::QuotaUsage(sums.clone()), None);
@@ -55,13 +55,13 @@
     let group = &mut self.groups[update.group as usize];
     self.hub.gates.deployments.follow(update.deployments);
     self.hub.gates.servers.follow(update.servers);
-    let fit = group.known.take(term, update.since, update.latest);
+    let fit = group.known.advance(term, update.since, update.latest);
     // The next report asks for what is lacking.
     self.behind |= fit == Fit::Gap;
     let event = Event::Updated {
       holdings: match fit {
         Fit::Gap => Vec::new(),
-        Fit::Snapshot | Fit::Follows => update.holdings,
+        Fit::Snapshot | Fit::Consecutive => update.holdings,
       },
       group: (fit == Fit::Snapshot).then_some((update.group, groups)),
       loads: (!update.loads.is_empty()).then_some(update.loads),
@@ -73,19 +73,19 @@
   /// A holder whose renewal is late asks the others not to take its lease.
   pub(crate) fn ask_promises(&mut self, now: u64, index: usize) {
     let group = &mut self.groups[index];
-    let Some(question) = group.lease.question(now) else {
+    let Some(question) = group.lease.next_promise_request(now) else {
       return;
     };
     if question.round % ROUNDS_LOGGED == 1 {
       info!(self.hub.log, "promises asked for"; "lease" => &group.name, "term" => question.term,
-        "round" => question.round, "orders_until_ms" => group.lease.until(), "now_ms" => now);
+        "round" => question.round, "orders_until_ms" => group.lease.valid_until(), "now_ms" => now);
     }
-    let members = self.addresses(now, index);
+    let members = self.peer_addresses(now, index);
     self.send(&Message::Question(index as u32, question), &members);
   }
 
   /// Answers a holder that asks for a promise.
-  pub(crate) fn promise(&mut self, now: u64, index: u32, question: Question, from: SocketAddr) {
+  pub(crate) fn promise(&mut self, now: u64, index: u32, question: Request, from: SocketAddr) {
     let Some(group) = self.groups.get_mut(index as usize) else {
       return;
     };
@@ -100,9 +100,9 @@
   }
 
   /// Takes up when the store answered another instance.
-  pub(crate) fn hear_store(&self, age: StoreAge) {
+  pub(crate) fn receive_store_age(&self, age: StoreAge) {
     // What waited in the socket while this process stood still would look fresh.
-    let age = age.filter(|_| !self.woken).map(Duration::from_millis);
+    let age = age.filter(|_| !self.stalled).map(Duration::from_millis);
     if let Some(at) = age.and_then(|age| Moment::now().checked_sub(age)) {
       self.hub.gates.reachability.record_peer_response(at);
     }
@@ -116,9 +116,9 @@
   }
 
   /// Where the other instances hear of a group.
-  pub(crate) fn addresses(&self, now: u64, index: usize) -> Vec<SocketAddr> {
+  pub(crate) fn peer_addresses(&self, now: u64, index: usize) -> Vec<SocketAddr> {
     let mut members = self.members(now, index);
-    members.retain(|member| *member != self.own);
+    members.retain(|member| *member != self.own_address);
     members
   }
 
@@ -140,11 +140,11 @@
       if batches.is_empty() {
         continue;
       }
-      let members = (0..self.groups.len()).flat_map(|index| self.addresses(now, index));
+      let members = (0..self.groups.len()).flat_map(|index| self.peer_addresses(now, index));
       let members: BTreeSet<SocketAddr> = members.collect();
       let members: Vec<SocketAddr> = members.into_iter().collect();
       for batch in batches {
-        self.spread(&Message::Changes(kind, batch), &members);
+        self.send_paced(&Message::Changes(kind, batch), &members);
       }
     }
   }
@@ -163,9 +163,11 @@
     let mut holders: Vec<SocketAddr> = Vec::new();
     for group in &mut self.groups {
       if group.leads(now) {
-        group.plan.receive_report(now, self.own, report.clone());
+        group
+          .plan
+          .receive_report(now, self.own_address, report.clone());
       } else if let Some(holder) = group.lease.holder()
-        && holder != self.own
+        && holder != self.own_address
         && !holders.contains(&holder)
       {
         holders.push(holder);
@@ -210,7 +212,7 @@
   }
 
   /// Sends a datagram to some instances as the link allows.
-  pub(crate) fn spread(&mut self, message: &Message, to: &[SocketAddr]) {
+  pub(crate) fn send_paced(&mut self, message: &Message, to: &[SocketAddr]) {
     match postcard::to_stdvec(message) {
       Ok(bytes) => {
         // Each time another one is the last.
@@ -241,7 +243,7 @@
     };
     let members = self.members(now, index);
     let instances = members.len().max(1);
-    let own = self.own;
+    let own = self.own_address;
     let others = match update.to {
       Some(address) => vec![address],
       None => members.clone(),
@@ -279,7 +281,7 @@
       self.publish_statements(statements, &others);
       self.republish_suspects(now, &others);
     }
-    let pause = self.outbox.drained_ms();
+    let pause = self.outbox.drain_time_ms();
     self.groups[index].plan.set_publish_interval(pause);
     if mine {
       self.take_own(index, heartbeat.term, update, instances);
@@ -310,7 +312,7 @@
       head.latest = part.latest;
       head.holdings = part.holdings;
       let message = Message::Update(head.clone());
-      self.spread(&message, to);
+      self.send_paced(&message, to);
       head.members.clear();
       head.loads.clear();
       head.quarantined.clear();
@@ -321,7 +323,7 @@
   /// Takes up an update of this instance's own.
   fn take_own(&mut self, index: usize, term: u64, update: &Publication, instances: usize) {
     let groups = self.groups.len() as u32;
-    self.groups[index].known = Known {
+    self.groups[index].known = Position {
       term,
       count: update.latest,
     };
--- a/src/lease/mod.rs
+++ b/src/lease/mod.rs
@@ -17,7 +17,7 @@
 
 use crate::{
   lease::{
-    promise::{EXTENSION_MS, LATE_WRITE_MS, Needed, Promise, Question, Rounds, short},
+    promise::{EXTENSION_MS, LATE_WRITE_MS, Needed, Promise, Request, Rounds, short},
     record::{Held, Seen},
   },
   store::{Error, Object, Result, Revision},
@@ -90,7 +90,7 @@
 impl Lease {
   /// The view of an instance that has not read the lease; `gap` is the least time
   /// between two holders' orders, `now` when its process started, ms.
-  pub fn open(machine: &str, address: SocketAddr, gap: u64, jitter: u64, now: u64) -> Self {
+  pub fn new(machine: &str, address: SocketAddr, gap: u64, jitter: u64, now: u64) -> Self {
     Self {
       machine: machine.into(),
       address,
@@ -122,7 +122,7 @@
   }
 
   /// Until when orders may go out, ms.
-  pub fn until(&self) -> u64 {
+  pub fn valid_until(&self) -> u64 {
     self.held.as_ref().map_or(0, |held| held.until)
   }
 
@@ -174,19 +174,19 @@
   }
 
   /// Takes up which machines are heard of.
-  pub fn hear(&mut self, machines: BTreeSet<u32>) {
+  pub fn set_machines(&mut self, machines: BTreeSet<u32>) {
     self.machines = machines;
   }
 
   /// A question to all other machines, where a renewal is late.
-  pub fn question(&mut self, now: u64) -> Option<Question> {
+  pub fn next_promise_request(&mut self, now: u64) -> Option<Request> {
     let (length, held) = (self.length, self.held.as_mut()?);
     let late = held.asks_from(length);
     let asks = now >= late && now < held.renewed + EXTENSION_MS;
     if !asks || now < held.rounds.due() {
       return None;
     }
-    Some(Question {
+    Some(Request {
       term: held.term,
       extends: held.extends(now),
       round: held.rounds.begin(now),
@@ -195,7 +195,7 @@
 
   /// Answers a holder's question: with a promise, where nothing that this machine does
   /// or did can take the lease before the promise is over.
-  pub fn promise(&mut self, now: u64, question: Question) -> Option<Promise> {
+  pub fn promise(&mut self, now: u64, question: Request) -> Option<Promise> {
     let seen = self.seen.as_ref()?;
     let record = seen.record.as_ref()?;
     // A copy may name a holder that others have followed.
@@ -216,7 +216,7 @@
 
   /// Takes up a machine's promise: orders may go out for the lease's length after all
   /// machines that could take it were asked.
-  pub fn promised(&mut self, promise: &Promise) {
+  pub fn receive_promise(&mut self, promise: &Promise) {
     let length = self.length;
     let Some(held) = self.held.as_mut().filter(|held| held.term == promise.term) else {
       return;
@@ -247,12 +247,12 @@
   }
 
   /// Holds an instance that has other leases back from taking this one, ms.
-  pub fn defer(&mut self, reluctance: u64) {
+  pub fn set_acquire_delay(&mut self, reluctance: u64) {
     self.reluctance = reluctance;
   }
 
   /// The call to make now.
-  pub fn call(&mut self, now: u64, stopping: bool) -> Option<Call> {
+  pub fn next_call(&mut self, now: u64, stopping: bool) -> Option<Call> {
     if self.calling.is_some() || now < self.rest_until {
       return None;
     }
@@ -401,7 +401,7 @@
   }
 
   /// Takes up the outcome of a call; true: this machine has just taken the lease.
-  pub fn answered(&mut self, now: u64, call: &Call, result: Result<Object>) -> bool {
+  pub fn record_call_result(&mut self, now: u64, call: &Call, result: Result<Object>) -> bool {
     let (sent, takes) = self.calling.take().unwrap_or((now, false));
     match (call, result) {
       (Call::Read, result) => {
--- a/src/lease/promise.rs
+++ b/src/lease/promise.rs
@@ -31,7 +31,7 @@
 
 /// Asks a machine not to take the lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Question {
+pub struct Request {
   pub term: u64,
   pub round: u32,
   /// A promise is asked for; otherwise only when the store answered others.
--- a/src/life.rs
+++ b/src/life.rs
@@ -33,13 +33,13 @@
 
   /// Whether this life began after another one of the same server had ended. A server
   /// that does not say when it started has one life.
-  pub fn ends(self, earlier: Self) -> bool {
+  pub fn supersedes(self, earlier: Self) -> bool {
     self.server == earlier.server && earlier.born > 0 && self.born > earlier.born
   }
 
   /// Whether what was said in this life counts where `current` is known.
-  pub fn counts(self, current: Self) -> bool {
-    self.server == current.server && !current.ends(self)
+  pub fn applies_to(self, current: Self) -> bool {
+    self.server == current.server && !current.supersedes(self)
   }
 
   /// As bytes, for hashes.
@@ -48,7 +48,7 @@
   }
 
   /// Short enough to be sent often.
-  pub fn short(self) -> u32 {
+  pub fn short_hash(self) -> u32 {
     (self.server ^ self.born.wrapping_mul(SPREAD)) as u32
   }
 }
--- a/src/listing.rs
+++ b/src/listing.rs
@@ -12,7 +12,7 @@
 const EARLY_MS: u64 = 10_000;
 
 impl State {
-  pub(crate) fn servers(&mut self, changes: Vec<Change>) {
+  pub(crate) fn update_servers(&mut self, changes: Vec<Change>) {
     self.changes += 1;
     for change in changes {
       match change {
@@ -32,7 +32,7 @@
         Change::Invalid(id) => self.remove(&id),
       }
     }
-    self.drop_lapsed();
+    self.drop_missing();
     self.dispatch_waiting();
   }
 
@@ -57,10 +57,10 @@
     }
     let known = self.by_id.get(&spec.id);
     let known = known.map(|key| self.backends[*key].spec.life());
-    if known.is_some_and(|known| known.ends(spec.life())) {
+    if known.is_some_and(|known| known.supersedes(spec.life())) {
       return;
     }
-    if known.is_some_and(|known| spec.life().ends(known)) {
+    if known.is_some_and(|known| spec.life().supersedes(known)) {
       // Requests that still run there keep their place in the life that has ended.
       self.remove(&spec.id);
     }
@@ -78,7 +78,7 @@
         let id = spec.id.clone();
         let mut backend = Backend::new(spec, self.now);
         if let Some((holding, _)) = self.early_holdings.remove(&id)
-          && holding.life().counts(backend.spec.life())
+          && holding.life().applies_to(backend.spec.life())
         {
           backend.update(holding, self.now);
         }
@@ -105,7 +105,7 @@
   }
 
   /// Gives up the servers whose entries did not come back in time.
-  pub(crate) fn drop_lapsed(&mut self) {
+  pub(crate) fn drop_missing(&mut self) {
     if !self.expiry.take_ended(self.now) {
       return;
     }
@@ -166,7 +166,7 @@
     }
   }
 
-  pub(crate) fn take_holdings(&mut self, holdings: Vec<Holding>, all: Option<(u32, u32)>) {
+  pub(crate) fn receive_holdings(&mut self, holdings: Vec<Holding>, all: Option<(u32, u32)>) {
     let now = self.now;
     self
       .early_holdings
@@ -188,10 +188,10 @@
       match self.by_id.get(&holding.id) {
         Some(key) => {
           let known = self.backends[*key].spec.clone();
-          if known.life().ends(holding.life()) {
+          if known.life().supersedes(holding.life()) {
             continue;
           }
-          if holding.life().ends(known.life()) {
+          if holding.life().supersedes(known.life()) {
             self.set(reborn(&known, &holding));
           }
           let key = self.by_id[&holding.id];
@@ -209,9 +209,9 @@
     }
   }
 
-  pub(crate) fn loads(&mut self, loads: &[(u32, u16)]) {
+  pub(crate) fn update_loads(&mut self, loads: &[(u32, u16)]) {
     for backend in self.backends.values_mut() {
-      let short = backend.spec.life().short();
+      let short = backend.spec.life().short_hash();
       // A server that is not named has none.
       let load = loads.iter().find(|(id, _)| *id == short);
       backend.load = load.map_or(0, |(_, load)| u32::from(*load));
--- a/src/measures.rs
+++ b/src/measures.rs
@@ -125,7 +125,7 @@
 
   /// An order has its outcome.
   pub fn order(&self, act: Act, taken: Taken) {
-    let act = label("act", act.word());
+    let act = label("act", act.as_str());
     self.orders.add(1, &[act, label("taken", taken.word())]);
   }
 
--- a/src/message.rs
+++ b/src/message.rs
@@ -6,7 +6,7 @@
   crash::{Crash, Quarantined, Suspected},
   feed,
   lease::Heartbeat,
-  lease::promise::{Promise, Question},
+  lease::promise::{Promise, Request},
   placement::plan::Report,
   quota::{Grant, Sums, Use},
   statement::Statement,
@@ -24,7 +24,7 @@
   Report(Report),
   Update(Update),
   /// A group's holder asks for a promise.
-  Question(u32, Question),
+  Question(u32, Request),
   /// What the holder of a group asked for, if the sender gives it, and what its asking shows
   /// that it lacks: when the store answered others.
   Promise(u32, Option<Promise>, StoreAge),
--- a/src/outbox.rs
+++ b/src/outbox.rs
@@ -48,12 +48,12 @@
   }
 
   /// Whether something waits.
-  pub fn waits(&self) -> bool {
+  pub fn has_pending(&self) -> bool {
     !self.waiting.is_empty()
   }
 
   /// Time until all that waits has gone out, ms.
-  pub fn drained_ms(&self) -> u64 {
+  pub fn drain_time_ms(&self) -> u64 {
     self.waiting_bytes / self.bytes_per_ms
   }
 
--- a/src/placement/gone.rs
+++ b/src/placement/gone.rs
@@ -116,7 +116,7 @@
     };
     match inventory {
       Ok(inventory) => {
-        if life.ends(unlisted.life) {
+        if life.supersedes(unlisted.life) {
           unlisted.life = life;
           unlisted.models.clear();
         }
--- a/src/placement/orders.rs
+++ b/src/placement/orders.rs
@@ -87,11 +87,11 @@
       return self.receive_unlisted_inventory(id, life, inventory);
     };
     let known = self.servers[key].spec.life();
-    if known.ends(life) {
+    if known.supersedes(life) {
       // The answer is from before the server's restart; the query after the restart is still open.
       return;
     }
-    if life.ends(known) {
+    if life.supersedes(known) {
       self.change(key, |server, models| server.restart(born, models));
       self.publish_pending = true;
     }
--- a/src/placement/plan.rs
+++ b/src/placement/plan.rs
@@ -224,11 +224,11 @@
     let known = self.by_id.get(&life.server()).copied();
     let current = known.map(|key| self.servers[key].spec.life());
     if let (Some(key), Some(current)) = (known, current) {
-      if current.ends(life) {
+      if current.supersedes(life) {
         // The entry is older than what the server stated when it was queried.
         return false;
       }
-      if !life.ends(current) {
+      if !life.supersedes(current) {
         let server = &self.servers[key];
         let engine = self.models.engine(server.pool).is_some();
         if server.spec != spec || server.has_engine != engine {
@@ -337,7 +337,7 @@
   pub(crate) fn find_server(&self, life: Life) -> Option<server::Key> {
     let key = *self.by_id.get(&life.server())?;
     let server = self.servers.get(key)?;
-    life.counts(server.spec.life()).then_some(key)
+    life.applies_to(server.spec.life()).then_some(key)
   }
 
   /// Servers of a pool.
--- a/src/placement/publish.rs
+++ b/src/placement/publish.rs
@@ -141,7 +141,7 @@
     let loads = servers.map(|server| (server.spec.life(), server.running_total()));
     let nonzero = loads.filter(|(_, load)| *load > 0);
     nonzero
-      .map(|(life, load)| (life.short(), load.min(u32::from(u16::MAX)) as u16))
+      .map(|(life, load)| (life.short_hash(), load.min(u32::from(u16::MAX)) as u16))
       .collect()
   }
 }
--- a/src/planner.rs
+++ b/src/planner.rs
@@ -22,7 +22,7 @@
   policy::Policy,
   pool::Pool,
   quota::{Accounts, Bound, Sums},
-  replication::Known,
+  replication::Position,
   settings::{Routing, Settings},
   socket::{Interest, Waker, wait},
   statement::Reply,
@@ -120,7 +120,7 @@
   /// Counts of the state that the plan has seen.
   pub(crate) seen: (u64, u64),
   /// Up to which change the holdings are known.
-  pub(crate) known: Known,
+  pub(crate) known: Position,
   /// When the lease was last given the machines that report, ms.
   pub(crate) heard: u64,
   /// When the list of instances was last published, ms.
@@ -140,7 +140,7 @@
   pub(crate) hub: Arc<Hub>,
   edge: Arc<Edge>,
   pub(crate) socket: UdpSocket,
-  pub(crate) own: SocketAddr,
+  pub(crate) own_address: SocketAddr,
   pub(crate) instance: String,
   /// This machine's short name.
   pub(crate) machine: u32,
@@ -164,7 +164,7 @@
   /// A holder lacks this instance's report, or it lacks changes.
   pub(crate) behind: bool,
   /// This process stood still: what its socket holds now may be old.
-  pub(crate) woken: bool,
+  pub(crate) stalled: bool,
   /// Reports in a row that asked for changes.
   pub(crate) lacked: u32,
   /// Instances that holders published.
@@ -184,12 +184,12 @@
   /// Names this process among those that report uses.
   pub(crate) process: u64,
   /// When uses are reported next, and standings written down, ms.
-  pub(crate) uses_at: u64,
-  pub(crate) standings_at: u64,
+  pub(crate) next_uses_report_at: u64,
+  pub(crate) next_standings_write_at: u64,
   /// What customers used within the last window as of then, ms, for the next holder; and when
   /// this one publishes it next.
   pub(crate) known_sums: Option<(u64, Sums)>,
-  pub(crate) sums_at: u64,
+  pub(crate) next_sums_publish_at: u64,
   /// Where datagrams are taken.
   buffer: Vec<u8>,
 }
@@ -205,7 +205,7 @@
     hub: hub.clone(),
     edge: edge.clone(),
     socket,
-    own: address,
+    own_address: address,
     instance: settings.instance.clone(),
     machine: promise::short(&routing.machine),
     groups: (0..routing.groups)
@@ -224,7 +224,7 @@
     reluctance: reluctance(&routing),
     outbox: Outbox::open((routing.link_mbps * BITS_MS / BITS / PUBLISH_PART) as u64),
     behind: false,
-    woken: false,
+    stalled: false,
     lacked: 0,
     members: Vec::new(),
     registry: Registry::default(),
@@ -236,10 +236,10 @@
     accounts: Accounts::default(),
     quota_bound: routing.quota_bound(),
     process: rand::random(),
-    uses_at: 0,
-    standings_at: 0,
+    next_uses_report_at: 0,
+    next_standings_write_at: 0,
     known_sums: None,
-    sums_at: 0,
+    next_sums_publish_at: 0,
     buffer: vec![0; DATAGRAM],
   };
   hub.gates.deployments.ring(planner.bell.clone());
@@ -265,12 +265,12 @@
   Group {
     number,
     name: format!("orders-{number}"),
-    lease: Lease::open(&routing.machine, address, routing.lease_ms, jitter, 0),
+    lease: Lease::new(&routing.machine, address, routing.lease_ms, jitter, 0),
     plan: Plan::new(&routing.machine, number, routing.load_window_ms, overage),
     holding: false,
     rest_until: 0,
     seen: (0, 0),
-    known: Known::default(),
+    known: Position::default(),
     heard: 0,
     members_sent: 0,
   }
@@ -295,7 +295,7 @@
         warn!(self.hub.log, "planner cannot wait"; "until_ms" => due);
         return;
       };
-      self.woken = self.hub.now() > due + STALLED_MS;
+      self.stalled = self.hub.now() > due + STALLED_MS;
       if wanted {
         self.hub.report_waker.clear();
       }
@@ -331,12 +331,12 @@
       "leases_lapsed" => self.groups.iter()
         .filter(|group| group.holding && group.lease.term(now).is_none()).count());
     self.behind = true;
-    self.woken = true;
+    self.stalled = true;
   }
 
   fn due(&self, now: u64) -> u64 {
     let mut due = (now + SLEEP_MS).min(self.reported + self.pause());
-    due = due.min(self.uses_at.max(now + 1));
+    due = due.min(self.next_uses_report_at.max(now + 1));
     for group in &self.groups {
       due = due.min(group.lease.due(now));
       if group.leads(now) {
@@ -356,7 +356,7 @@
     for next in repeated {
       due = due.min(next.unwrap_or(due));
     }
-    if self.outbox.waits() {
+    if self.outbox.has_pending() {
       due = due.min(now + outbox::SLOT_MS);
     }
     due.max(now)
@@ -392,10 +392,10 @@
         Ok(Message::Grants(answer)) => self.hear_grants(answer),
         Ok(Message::Statements(statements)) => self.hear_statements(statements),
         Ok(Message::Promise(index, promise, store_ms)) => {
-          self.hear_store(store_ms);
+          self.receive_store_age(store_ms);
           let group = self.groups.get_mut(index as usize);
           if let (Some(group), Some(promise)) = (group, promise) {
-            group.lease.promised(&promise);
+            group.lease.receive_promise(&promise);
           }
         }
         Err(error) => {
@@ -471,7 +471,7 @@
       // Others learn of the renewal at once.
       group.plan.request_publish();
     }
-    if group.lease.answered(now, call, result) {
+    if group.lease.record_call_result(now, call, result) {
       let term = group.lease.term(now).unwrap_or_default();
       self.hub.measures.lease();
       info!(self.hub.log, "lease taken"; "lease" => &group.name, "term" => term);
@@ -503,12 +503,14 @@
         group.holding = holding;
         info!(self.hub.log, "orders"; "lease" => &group.name, "given_here" => holding);
       }
-      group.lease.defer(self.reluctance + count * RELUCTANCE_MS);
+      group
+        .lease
+        .set_acquire_delay(self.reluctance + count * RELUCTANCE_MS);
       if group.leads(now) && now >= group.heard + HEAR_MS {
         group.heard = now;
-        group.lease.hear(group.plan.machines(now));
+        group.lease.set_machines(group.plan.machines(now));
       }
-      if let Some(call) = group.lease.call(now, stopping) {
+      if let Some(call) = group.lease.next_call(now, stopping) {
         self.call(index, call);
       }
       self.ask_promises(now, index);
@@ -563,7 +565,7 @@
   }
 
   /// Reads or writes what is kept from servers, where that is due.
-  pub(crate) fn call_quarantine(&self, call: stored::Call) {
+  pub(crate) fn start_quarantine_call(&self, call: stored::Call) {
     let (edge, done, bell) = (self.edge.clone(), self.done.clone(), self.bell.clone());
     self.calls.run(move || {
       let kind = edge.kinds.quarantine;
@@ -668,10 +670,10 @@
 
   fn order(&self, index: usize, command: Command) {
     let (edge, done, bell) = (self.edge.clone(), self.done.clone(), self.bell.clone());
-    let (hub, until) = (self.hub.clone(), self.groups[index].lease.until());
+    let (hub, until) = (self.hub.clone(), self.groups[index].lease.valid_until());
     self.orders.run(move || {
       // A pause between decision and sending must not let an order out late.
-      let reply = (edge.order)(&command, hub.instant(until));
+      let reply = (edge.send_order)(&command, hub.instant(until));
       let _ = done.send(Done::Ordered(index, command, reply));
       bell.wake();
     });
@@ -680,7 +682,7 @@
   fn ask(&self, index: usize, id: String, address: SocketAddr) {
     let (edge, done, bell) = (self.edge.clone(), self.done.clone(), self.bell.clone());
     self.asks.run(move || {
-      let reply = (edge.report)(address, &id);
+      let reply = (edge.query_inventory)(address, &id);
       let _ = done.send(Done::Asked(index, id, reply));
       bell.wake();
     });
--- a/src/quarantine.rs
+++ b/src/quarantine.rs
@@ -48,7 +48,7 @@
     if !due.is_empty() {
       let other_instances = self.other_instances(now);
       for entries in due.chunks(MAX_ENTRIES) {
-        self.spread(&Message::Quarantine(entries.to_vec()), &other_instances);
+        self.send_paced(&Message::Quarantine(entries.to_vec()), &other_instances);
       }
     }
   }
@@ -86,7 +86,7 @@
     }
     let other_instances = self.other_instances(now);
     for entries in suspects.chunks(MAX_ENTRIES) {
-      self.spread(&Message::Suspects(entries.to_vec()), &other_instances);
+      self.send_paced(&Message::Suspects(entries.to_vec()), &other_instances);
     }
     self.hub.apply(Event::Suspected(suspects), None);
   }
@@ -95,7 +95,7 @@
   /// none sends copies of them without limit.
   pub(crate) fn republish_suspects(&mut self, now: u64, to: &[SocketAddr]) {
     for entries in self.registry.current_suspects(now).chunks(MAX_ENTRIES) {
-      self.spread(&Message::Suspects(entries.to_vec()), to);
+      self.send_paced(&Message::Suspects(entries.to_vec()), to);
     }
   }
 
@@ -174,7 +174,7 @@
       .stored_quarantine
       .call(now, unix_ms(), holding, &entries)
     {
-      self.call_quarantine(call);
+      self.start_quarantine_call(call);
     }
   }
 
@@ -219,7 +219,7 @@
   fn other_instances(&self, now: u64) -> Vec<SocketAddr> {
     let groups = 0..self.groups.len();
     let other_instances: BTreeSet<SocketAddr> = groups
-      .flat_map(|index| self.addresses(now, index))
+      .flat_map(|index| self.peer_addresses(now, index))
       .collect();
     other_instances.into_iter().collect()
   }
@@ -228,7 +228,7 @@
   /// hash so that all instances select the same ones.
   fn analyzers(&self, now: u64) -> Vec<SocketAddr> {
     let mut members = self.other_instances(now);
-    members.push(self.own);
+    members.push(self.own_address);
     members.sort_by_key(|address| xxh3_64(address.to_string().as_bytes()));
     members.truncate(EXTRA_ANALYZERS);
     let holders = self.groups.iter().filter_map(|group| group.lease.holder());
@@ -241,13 +241,13 @@
   }
 
   fn is_analyzer(&self, now: u64) -> bool {
-    self.groups.iter().any(|group| group.holding) || self.analyzers(now).contains(&self.own)
+    self.groups.iter().any(|group| group.holding) || self.analyzers(now).contains(&self.own_address)
   }
 
   /// Returns the analyzers other than this instance.
   fn other_analyzers(&self, now: u64) -> Vec<SocketAddr> {
     let mut other_analyzers = self.analyzers(now);
-    other_analyzers.retain(|analyzer| *analyzer != self.own);
+    other_analyzers.retain(|analyzer| *analyzer != self.own_address);
     other_analyzers
   }
 }
--- a/src/quotas.rs
+++ b/src/quotas.rs
@@ -65,7 +65,7 @@
   pub(crate) fn report_uses(&mut self, wanted: bool) {
     let now = self.hub.now();
     let said = self.reported_statements.due().is_some_and(|due| now >= due);
-    if !wanted && !said && now < self.uses_at {
+    if !wanted && !said && now < self.next_uses_report_at {
       return;
     }
     let (uses, ask_at, limited, freed) = {
@@ -76,20 +76,20 @@
       let limited = state.limits.any();
       let waits = freed || state.needs_units();
       if !keyed && !limited && !waits && !said {
-        self.uses_at = now + REPORT_MOST_MS;
+        self.next_uses_report_at = now + REPORT_MOST_MS;
         return;
       }
       (state.uses(now), state.quotas().ask_at(), limited, freed)
     };
     let needed = uses.iter().any(|one| one.need > 0);
-    if now < self.uses_at && !needed && !said && !freed {
+    if now < self.next_uses_report_at && !needed && !said && !freed {
       return;
     }
     let pause = match uses.is_empty() && !limited {
       true => REPORT_MOST_MS,
       false => self.report_pause(),
     };
-    self.uses_at = match needed {
+    self.next_uses_report_at = match needed {
       true => ask_at.max(now + 1),
       false => now + pause,
     };
@@ -107,7 +107,7 @@
       return;
     };
     if group.holding {
-      let grants = self.account(now, self.own, self.process, &uses);
+      let grants = self.account(now, self.own_address, self.process, &uses);
       let sent = now;
       self.hub.apply(Event::Granted { sent, grants }, None);
       if let Some(book) = self.book() {
@@ -115,7 +115,11 @@
       }
       return;
     }
-    let Some(holder) = group.lease.holder().filter(|holder| *holder != self.own) else {
+    let Some(holder) = group
+      .lease
+      .holder()
+      .filter(|holder| *holder != self.own_address)
+    else {
       return;
     };
     let uses = Uses {
@@ -175,10 +179,10 @@
   /// What was used of quotas within their last windows, as this holder counted it; none: it is
   /// not due to be published. That nothing was used is published too: the next holder knows it.
   pub(crate) fn sums(&mut self, now: u64) -> Option<Sums> {
-    if now < self.sums_at {
+    if now < self.next_sums_publish_at {
       return None;
     }
-    self.sums_at = now + SUMS_MS;
+    self.next_sums_publish_at = now + SUMS_MS;
     let allowances = self.allowances();
     Some(self.accounts.sums(now, |id| allowances.get(id)))
   }
@@ -245,10 +249,10 @@
   }
 
   fn note_standings(&mut self, now: u64, book: &Book) {
-    if now < self.standings_at {
+    if now < self.next_standings_write_at {
       return;
     }
-    self.standings_at = now + STANDINGS_MS;
+    self.next_standings_write_at = now + STANDINGS_MS;
     let customers = book.all().iter();
     let accounts = &mut self.accounts;
     let standings: Vec<Standing> = customers
--- a/src/replication.rs
+++ b/src/replication.rs
@@ -45,22 +45,22 @@
 pub enum Fit {
   /// It replaces all that was known.
   Snapshot,
-  Follows,
+  Consecutive,
   /// Something before it is lacking.
   Gap,
 }
 
 /// Up to which change an instance knows the holdings of a group.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Known {
+pub struct Position {
   /// Term of the holder that counts the changes.
   pub term: u64,
   pub count: u64,
 }
 
-impl Known {
+impl Position {
   /// Takes up an update of a term, where it fits.
-  pub fn take(&mut self, term: u64, since: u64, latest: u64) -> Fit {
+  pub fn advance(&mut self, term: u64, since: u64, latest: u64) -> Fit {
     if since == 0 {
       *self = Self {
         term,
@@ -75,6 +75,6 @@
       return Fit::Gap;
     }
     self.count = self.count.max(latest);
-    Fit::Follows
+    Fit::Consecutive
   }
 }
--- a/src/router.rs
+++ b/src/router.rs
@@ -157,7 +157,7 @@
 
 /// Applies the deployment in an object. Returns whether it is newer than the current one.
 fn deploy(hub: &Hub, edge: &Edge, object: &Object) -> bool {
-  match (edge.deployment)(object) {
+  match (edge.parse_deployment)(object) {
     Ok(Some(deployment)) => {
       let version = hub
         .state()
@@ -198,7 +198,7 @@
       &hub.log,
       affects_others,
       |change| {
-        let mut decode = |object: &Object| match (edge.server)(object) {
+        let mut decode = |object: &Object| match (edge.parse_server)(object) {
           Ok(spec) => Change::Set(spec),
           Err(fault) => {
             if invalid_entries.insert(object) {
@@ -257,7 +257,7 @@
     return true;
   }
   let state = hub.state();
-  match (edge.server)(object) {
+  match (edge.parse_server)(object) {
     Ok(spec) => !is_known(&state, &spec),
     Err(_) => state.by_id.contains_key(&object.name),
   }
--- a/src/statement/exchange.rs
+++ b/src/statement/exchange.rs
@@ -38,20 +38,20 @@
       return;
     }
     let statements = self.statements_of(now, &due);
-    let others = self.addresses(now, 0);
+    let others = self.peer_addresses(now, 0);
     self.publish_statements(statements, &others);
   }
 
   /// Publishes what servers said to some instances.
   pub(crate) fn publish_statements(&mut self, statements: Vec<Statement>, to: &[SocketAddr]) {
     for part in statements.chunks(STATEMENTS) {
-      self.spread(&Message::Statements(part.to_vec()), to);
+      self.send_paced(&Message::Statements(part.to_vec()), to);
     }
   }
 
   /// Takes up what another instance heard of servers.
   pub(crate) fn hear_statements(&mut self, mut statements: Vec<Statement>) {
-    if self.woken {
+    if self.stalled {
       statements.retain(Statement::counts_late);
     }
     if !statements.is_empty() {
--- a/stand-ins/src/replay.rs
+++ b/stand-ins/src/replay.rs
@@ -620,7 +620,7 @@
       let age = now - request.arrived;
       let entry = demand
         .entry(&request.model)
-        .or_insert_with(|| Demand::ahead("pool", Model::parse(&request.model)));
+        .or_insert_with(|| Demand::preload("pool", Model::parse(&request.model)));
       entry.waiting += 1;
       entry.priority = 1;
       entry.age_ms = entry.age_ms.max(age);
--- a/tests/clock.rs
+++ b/tests/clock.rs
@@ -84,12 +84,12 @@
   let _alone = alone();
   let hub = hub();
   let address = "127.0.0.1:1".parse().unwrap();
-  let mut lease = Lease::open("machine", address, 3_000, 0, 0);
+  let mut lease = Lease::new("machine", address, 3_000, 0, 0);
   let record = take(&mut lease, hub.now());
   assert!(lease.term(hub.now()).is_some(), "{record}");
   skip(AWAY);
   assert!(lease.term(hub.now()).is_none());
-  assert!(lease.heartbeat(hub.now()).is_none() || lease.until() < hub.now());
+  assert!(lease.heartbeat(hub.now()).is_none() || lease.valid_until() < hub.now());
 }
 
 /// Takes a lease that nobody holds; what was written.
@@ -102,7 +102,7 @@
       skip(Duration::from_millis(now - from));
       break;
     }
-    let Some(call) = lease.call(now, false) else {
+    let Some(call) = lease.next_call(now, false) else {
       continue;
     };
     let result = match &call {
@@ -116,7 +116,7 @@
         })
       }
     };
-    lease.answered(now, &call, result);
+    lease.record_call_result(now, &call, result);
   }
   written
 }
--- a/tests/lease.rs
+++ b/tests/lease.rs
@@ -2,7 +2,7 @@
 //! store answers, loses or delays, and however long a machine stands still.
 
 use bendsaddle::{
-  lease::promise::{Promise, Question, short},
+  lease::promise::{Promise, Request, short},
   lease::{Call, Heartbeat, Lease, Record},
   store::{Error, Object, Revision},
 };
@@ -84,7 +84,7 @@
 }
 
 fn started(name: &str, now: u64) -> Lease {
-  Lease::open(name, "127.0.0.1:1".parse().unwrap(), GAP, 0, now)
+  Lease::new(name, "127.0.0.1:1".parse().unwrap(), GAP, 0, now)
 }
 
 fn machines(names: &[&str]) -> BTreeSet<u32> {
@@ -94,9 +94,9 @@
 /// Lets an instance make its calls; the store answers at once.
 fn run(lease: &mut Lease, store: &mut Store, now: u64) {
   for _ in 0..4 {
-    if let Some(call) = lease.call(now, false) {
+    if let Some(call) = lease.next_call(now, false) {
       let result = store.apply(&call);
-      lease.answered(now, &call, result);
+      lease.record_call_result(now, &call, result);
     }
   }
 }
@@ -129,9 +129,9 @@
   let (mut one, mut two) = (lease("one"), lease("two"));
   run(&mut one, &mut store, 0);
   run(&mut two, &mut store, 0);
-  let call = one.call(1_000, true).unwrap();
+  let call = one.next_call(1_000, true).unwrap();
   let result = store.apply(&call);
-  one.answered(1_000, &call, result);
+  one.record_call_result(1_000, &call, result);
   assert_eq!(one.term(1_000), None);
   assert!(store.record().released);
   let taken = (1_000..20_000).step_by(50).find(|now| {
@@ -150,13 +150,13 @@
   let mut store = Store::default();
   let mut one = lease("one");
   run(&mut one, &mut store, 0);
-  let call = one.call(800, false).unwrap();
+  let call = one.next_call(800, false).unwrap();
   store.apply(&call).unwrap();
-  one.answered(850, &call, Err(Error::NoAnswer));
-  let again = one.call(1_050, false).unwrap();
+  one.record_call_result(850, &call, Err(Error::NoAnswer));
+  let again = one.next_call(1_050, false).unwrap();
   assert_eq!(again, Call::Read);
   let result = store.apply(&again);
-  one.answered(1_050, &again, result);
+  one.record_call_result(1_050, &again, result);
   run(&mut one, &mut store, 1_060);
   assert_eq!(one.term(2_000), Some(1));
 }
@@ -173,11 +173,11 @@
     two.receive(now, one.heartbeat(now).unwrap(), address);
     // One read shows that no taking of an earlier process is left; others would tell the
     // same as the word.
-    let called = two.call(now, false);
+    let called = two.next_call(now, false);
     let read = (now == 10_000).then_some(Call::Read);
     assert_eq!(called, read, "{now}");
     if let Some(call) = called {
-      two.answered(now, &call, store.apply(&call));
+      two.record_call_result(now, &call, store.apply(&call));
     }
   }
 }
@@ -196,7 +196,7 @@
 #[derive(Clone)]
 enum Datagram {
   Heartbeat(Heartbeat),
-  Question(usize, Question),
+  Question(usize, Request),
   Promise(Promise),
 }
 
@@ -242,7 +242,7 @@
             words.push((at, from, Datagram::Promise(promise)));
           }
         }
-        Datagram::Promise(promise) => leases[who].promised(&promise),
+        Datagram::Promise(promise) => leases[who].receive_promise(&promise),
       }
     }
     let (due, later): (Vec<Flight>, Vec<Flight>) =
@@ -258,7 +258,7 @@
       };
       let heard = flight.answers && now >= frozen[who];
       let result = if heard { result } else { Err(Error::NoAnswer) };
-      leases[who].answered(now, &flight.call, result);
+      leases[who].record_call_result(now, &flight.call, result);
     }
     for who in 0..MACHINES {
       if who == 3 && now < joins {
@@ -269,7 +269,7 @@
       } else {
         &names[..]
       };
-      leases[who].hear(machines(known));
+      leases[who].set_machines(machines(known));
       if rng.random_range(0..300) == 0 {
         cut[who] = now + rng.random_range(500..12_000);
       }
@@ -296,7 +296,7 @@
           Datagram::Heartbeat(word),
         ));
       }
-      if let Some(question) = leases[who].question(now) {
+      if let Some(question) = leases[who].next_promise_request(now) {
         for other in (0..MACHINES).filter(|other| *other != who) {
           let reached = (other < 3 || now >= heard_at) && rng.random_range(0..8) > 0;
           if reached {
@@ -305,7 +305,7 @@
           }
         }
       }
-      if let Some(call) = leases[who].call(now, false) {
+      if let Some(call) = leases[who].next_call(now, false) {
         let at = now + rng.random_range(1..400);
         let kind = match now < cut[who] {
           true => 2,
@@ -351,7 +351,7 @@
 fn a_holder_that_hears_of_another_one_does_not_renew_its_lease() {
   let mut store = Store::default();
   let (mut one, mut two) = (lease("one"), lease("two"));
-  one.hear(machines(&["two"]));
+  one.set_machines(machines(&["two"]));
   run(&mut one, &mut store, 0);
   run(&mut two, &mut store, 0);
   for now in (0..8_000).step_by(50) {
@@ -412,7 +412,7 @@
       if dies && who == 0 && now >= 10_000 {
         continue;
       }
-      leases[who].hear(machines(&names));
+      leases[who].set_machines(machines(&names));
       if let Some(word) = leases[who].heartbeat(now) {
         let others = (0..3).filter(|other| *other != who);
         others.for_each(|other| leases[other].receive(now, word.clone(), address));
@@ -424,8 +424,8 @@
       match away {
         false => run(&mut leases[who], &mut store, now),
         true => {
-          if let Some(call) = leases[who].call(now, false) {
-            leases[who].answered(now, &call, Err(Error::Refused(503)));
+          if let Some(call) = leases[who].next_call(now, false) {
+            leases[who].record_call_result(now, &call, Err(Error::Refused(503)));
           }
         }
       }
@@ -477,7 +477,7 @@
   let mut orders = Vec::new();
   for now in (0..25_000).step_by(50) {
     for who in 0..3 {
-      leases[who].hear(machines(&names));
+      leases[who].set_machines(machines(&names));
       if let Some(word) = leases[who].heartbeat(now) {
         let others = (0..3).filter(|other| *other != who);
         others.for_each(|other| leases[other].receive(now, word.clone(), address));
@@ -485,19 +485,19 @@
       if leases[who].term(now).is_some() {
         orders.push((now, who));
       }
-      if let Some(call) = leases[who].call(now, false) {
+      if let Some(call) = leases[who].next_call(now, false) {
         let result = match who == 0 && (5_000..12_000).contains(&now) {
           true => Err(Error::Refused(503)),
           false => store.apply(&call),
         };
-        leases[who].answered(now, &call, result);
+        leases[who].record_call_result(now, &call, result);
       }
-      let Some(question) = leases[who].question(now).filter(|_| promises) else {
+      let Some(question) = leases[who].next_promise_request(now).filter(|_| promises) else {
         continue;
       };
       for other in (0..3).filter(|other| *other != who) {
         if let Some(promise) = leases[other].promise(now, question) {
-          leases[who].promised(&promise);
+          leases[who].receive_promise(&promise);
         }
       }
     }
@@ -540,25 +540,25 @@
 fn a_machine_whose_taking_may_be_on_its_way_promises_nothing() {
   let mut store = Store::default();
   let (mut one, mut two) = (lease("one"), lease("two"));
-  one.hear(machines(&["two"]));
+  one.set_machines(machines(&["two"]));
   run(&mut one, &mut store, 0);
   run(&mut two, &mut store, 0);
   let taking = (0..9_000).step_by(50).find_map(|now| {
-    let call = two.call(now, false)?;
+    let call = two.next_call(now, false)?;
     if let Call::Write { .. } = call {
       return Some((now, call));
     }
-    two.answered(now, &call, store.apply(&call));
+    two.record_call_result(now, &call, store.apply(&call));
     None
   });
   let (now, call) = taking.expect("the holder is silent");
-  let question = |now: u64| Question {
+  let question = |now: u64| Request {
     term: 1,
     extends: true,
     round: now as u32,
   };
   assert_eq!(two.promise(now + 10, question(now)), None, "under way");
-  two.answered(now + 1_000, &call, Err(Error::NoAnswer));
+  two.record_call_result(now + 1_000, &call, Err(Error::NoAnswer));
   assert_eq!(two.promise(now + 1_100, question(now)), None, "no answer");
   assert_eq!(
     two.promise(now + 9_000, question(now)),
@@ -570,9 +570,9 @@
     None,
     "not read since"
   );
-  let read = two.call(now + 12_000, false).unwrap();
+  let read = two.next_call(now + 12_000, false).unwrap();
   assert_eq!(read, Call::Read);
-  two.answered(now + 12_010, &read, store.apply(&read));
+  two.record_call_result(now + 12_010, &read, store.apply(&read));
   assert!(two.promise(now + 12_100, question(now)).is_some());
 }
 
--- a/tests/outbox.rs
+++ b/tests/outbox.rs
@@ -14,7 +14,7 @@
   let mut outbox = Outbox::open(25_000);
   outbox.push(vec![0; 500], instances(9));
   assert_eq!(outbox.take(10).len(), 9);
-  assert!(!outbox.waits());
+  assert!(!outbox.has_pending());
 }
 
 #[test]
@@ -25,10 +25,14 @@
     outbox.push(vec![number; 1_000], instances.clone());
   }
   let mut got = vec![Vec::new(); instances.len()];
-  assert!(outbox.drained_ms() >= 190, "{} ms", outbox.drained_ms());
+  assert!(
+    outbox.drain_time_ms() >= 190,
+    "{} ms",
+    outbox.drain_time_ms()
+  );
   let mut now = 1_000;
   let began = now;
-  while outbox.waits() {
+  while outbox.has_pending() {
     let due = outbox.take(now);
     let bytes: usize = due.iter().map(|(bytes, _)| bytes.len()).sum();
     assert!(
--- a/tests/replication.rs
+++ b/tests/replication.rs
@@ -6,7 +6,7 @@
   command::Inventory,
   deployment::{Checkpoint, Deployment, Engine, Pool},
   placement::plan::{Effect, Plan, Publication, Report},
-  replication::{Fit, Known, parts},
+  replication::{Fit, Position, parts},
 };
 use std::{
   collections::{BTreeMap, BTreeSet, VecDeque},
@@ -26,7 +26,7 @@
 /// An instance that hears of holdings.
 #[derive(Default)]
 struct Instance {
-  known: Known,
+  known: Position,
   holdings: BTreeMap<String, Holding>,
   behind: bool,
 }
@@ -38,13 +38,13 @@
       if lost(number) {
         continue;
       }
-      match self.known.take(TERM, part.since, part.latest) {
+      match self.known.advance(TERM, part.since, part.latest) {
         Fit::Gap => {
           self.behind = true;
           continue;
         }
         Fit::Snapshot => self.holdings.clear(),
-        Fit::Follows => {}
+        Fit::Consecutive => {}
       }
       for holding in part.holdings {
         self.holdings.insert(holding.id.clone(), holding);
@@ -278,11 +278,11 @@
 
 #[test]
 fn counts_of_an_earlier_term_do_not_count() {
-  let mut known = Known { term: 1, count: 40 };
-  assert_eq!(known.take(2, 30, 41), Fit::Gap);
-  assert_eq!(known, Known { term: 2, count: 0 });
-  assert_eq!(known.take(2, 0, 9), Fit::Snapshot);
-  assert_eq!(known.take(2, 9, 12), Fit::Follows);
-  assert_eq!(known.take(2, 13, 14), Fit::Gap);
+  let mut known = Position { term: 1, count: 40 };
+  assert_eq!(known.advance(2, 30, 41), Fit::Gap);
+  assert_eq!(known, Position { term: 2, count: 0 });
+  assert_eq!(known.advance(2, 0, 9), Fit::Snapshot);
+  assert_eq!(known.advance(2, 9, 12), Fit::Consecutive);
+  assert_eq!(known.advance(2, 13, 14), Fit::Gap);
   assert_eq!(known.count, 12);
 }
