--- a/src/command.rs
+++ b/src/command.rs
@@ -64,7 +64,7 @@
 
 impl Taken {
   /// The word used as a metric label.
-  pub fn word(self) -> &'static str {
+  pub fn as_str(self) -> &'static str {
     match self {
       Self::Accepted => "accepted",
       Self::Done => "done",
--- a/src/exchange.rs
+++ b/src/exchange.rs
@@ -38,7 +38,7 @@
     if !update.members.is_empty() {
       self.members = update.members;
     }
-    let holding = group.holding;
+    let holding = group.holds_lease;
     let successor = !holding && term != group.known.term;
     self.receive_store_age(update.store);
     self.receive_quarantine(now, &update.quarantined, from);
@@ -227,7 +227,7 @@
 
   /// Sends what is due of what waits.
   pub(crate) fn flush(&mut self) {
-    for (bytes, address) in self.outbox.take(self.hub.now()) {
+    for (bytes, address) in self.outbox.take_due(self.hub.now()) {
       // A datagram that is lost is sent again.
       let _ = self.socket.send_to(&bytes, address);
     }
--- a/src/lease/mod.rs
+++ b/src/lease/mod.rs
@@ -17,7 +17,7 @@
 
 use crate::{
   lease::{
-    promise::{EXTENSION_MS, LATE_WRITE_MS, Needed, Promise, Request, Rounds, short},
+    promise::{EXTENSION_MS, LATE_WRITE_MS, Needed, Promise, Request, Rounds, short_hash},
     record::{Held, Seen},
   },
   store::{Error, Object, Result, Revision},
@@ -208,7 +208,7 @@
     self.promised_until = now + self.kept();
     self.heard = now;
     Some(Promise {
-      machine: short(&self.machine),
+      machine: short_hash(&self.machine),
       term: question.term,
       round: question.round,
     })
@@ -323,8 +323,9 @@
       Some(record) if record.machine == self.machine && !seen.stale() => 0,
       Some(record) if record.released && !seen.stale() => seen.since + self.gap + spread,
       Some(record) => {
-        let own = short(&self.machine);
-        let listed = !seen.read || short(&record.machine) == own || record.machines.contains(&own);
+        let own = short_hash(&self.machine);
+        let listed =
+          !seen.read || short_hash(&record.machine) == own || record.machines.contains(&own);
         let extension = if listed { 0 } else { EXTENSION_MS };
         // An earlier process on this machine may have promised until it ended.
         seen.since.max(self.started) + extension + self.length + self.gap + spread
@@ -336,7 +337,7 @@
   /// Machines heard of, but this one.
   fn others(&self) -> BTreeSet<u32> {
     let mut others = self.machines.clone();
-    others.remove(&short(&self.machine));
+    others.remove(&short_hash(&self.machine));
     others
   }
 
@@ -345,8 +346,8 @@
     let mut machines = self.others();
     if let Some(record) = &seen.record {
       machines.extend(&record.machines);
-      machines.insert(short(&record.machine));
-      machines.remove(&short(&self.machine));
+      machines.insert(short_hash(&record.machine));
+      machines.remove(&short_hash(&self.machine));
     }
     let term = seen.next_term();
     Call::Write {
--- a/src/lease/promise.rs
+++ b/src/lease/promise.rs
@@ -25,7 +25,7 @@
 const ROUNDS: usize = 16;
 
 /// A machine's name, short enough to be listed for each of hundreds.
-pub fn short(machine: &str) -> u32 {
+pub fn short_hash(machine: &str) -> u32 {
   crate::backend::short_hash(machine)
 }
 
--- a/src/measures.rs
+++ b/src/measures.rs
@@ -126,7 +126,7 @@
   /// An order has its outcome.
   pub fn order(&self, act: Act, taken: Taken) {
     let act = label("act", act.as_str());
-    self.orders.add(1, &[act, label("taken", taken.word())]);
+    self.orders.add(1, &[act, label("taken", taken.as_str())]);
   }
 
   /// A lease was taken.
--- a/src/outbox.rs
+++ b/src/outbox.rs
@@ -27,7 +27,7 @@
 
 impl Outbox {
   /// An outbox that sends so many bytes a millisecond.
-  pub fn open(bytes_per_ms: u64) -> Self {
+  pub fn new(bytes_per_ms: u64) -> Self {
     let bytes_per_ms = bytes_per_ms.max(1);
     Self {
       waiting: VecDeque::new(),
@@ -58,7 +58,7 @@
   }
 
   /// What may go out now, in order.
-  pub fn take(&mut self, now: u64) -> Vec<Datagram> {
+  pub fn take_due(&mut self, now: u64) -> Vec<Datagram> {
     let most = self.bytes_per_ms * SLOT_MS * BURST_SLOTS;
     let more = self.bytes_per_ms * now.saturating_sub(self.counted);
     self.allowance = self.allowance.saturating_add(more).min(most);
--- a/src/planner.rs
+++ b/src/planner.rs
@@ -114,7 +114,7 @@
   pub(crate) name: String,
   pub(crate) lease: Lease,
   pub(crate) plan: Plan,
-  pub(crate) holding: bool,
+  pub(crate) holds_lease: bool,
   /// No step before this time: deciding takes its part of the processor only, ms.
   pub(crate) rest_until: u64,
   /// Counts of the state that the plan has seen.
@@ -207,7 +207,7 @@
     socket,
     own_address: address,
     instance: settings.instance.clone(),
-    machine: promise::short(&routing.machine),
+    machine: promise::short_hash(&routing.machine),
     groups: (0..routing.groups)
       .map(|number| group(number, &routing, address))
       .collect(),
@@ -222,7 +222,7 @@
     policies_at: 0,
     policies_until: u64::MAX,
     reluctance: reluctance(&routing),
-    outbox: Outbox::open((routing.link_mbps * BITS_MS / BITS / PUBLISH_PART) as u64),
+    outbox: Outbox::new((routing.link_mbps * BITS_MS / BITS / PUBLISH_PART) as u64),
     behind: false,
     stalled: false,
     lacked: 0,
@@ -267,7 +267,7 @@
     name: format!("orders-{number}"),
     lease: Lease::new(&routing.machine, address, routing.lease_ms, jitter, 0),
     plan: Plan::new(&routing.machine, number, routing.load_window_ms, overage),
-    holding: false,
+    holds_lease: false,
     rest_until: 0,
     seen: (0, 0),
     known: Position::default(),
@@ -325,11 +325,11 @@
   /// The machine was suspended: what was published meanwhile is lost.
   fn woke(&mut self, away: Duration) {
     let now = self.hub.now();
-    let held = self.groups.iter().filter(|group| group.holding);
+    let held = self.groups.iter().filter(|group| group.holds_lease);
     info!(self.hub.log, "machine was suspended"; "away_ms" => away.as_millis() as u64,
       "leases_held" => held.count(),
       "leases_lapsed" => self.groups.iter()
-        .filter(|group| group.holding && group.lease.term(now).is_none()).count());
+        .filter(|group| group.holds_lease && group.lease.term(now).is_none()).count());
     self.behind = true;
     self.stalled = true;
   }
@@ -342,7 +342,7 @@
       if group.leads(now) {
         due = due.min(group.plan.next_step_at(now).max(group.rest_until));
       }
-      if group.holding {
+      if group.holds_lease {
         due = due.min(self.policies_at);
       }
     }
@@ -499,8 +499,8 @@
     for index in 0..self.groups.len() {
       let group = &mut self.groups[index];
       let holding = held(group);
-      if holding != group.holding {
-        group.holding = holding;
+      if holding != group.holds_lease {
+        group.holds_lease = holding;
         info!(self.hub.log, "orders"; "lease" => &group.name, "given_here" => holding);
       }
       group
@@ -515,7 +515,7 @@
       }
       self.ask_promises(now, index);
     }
-    let leads = self.groups.iter().any(|group| group.holding);
+    let leads = self.groups.iter().any(|group| group.holds_lease);
     self.hub.gates.deployments.lead(leads);
     self.hub.gates.servers.lead(leads);
   }
@@ -523,7 +523,7 @@
   /// Reads the operators' policies now and then, while this machine gives orders.
   fn read_policies(&mut self) {
     let now = self.hub.now();
-    let holds = self.groups.iter().any(|group| group.holding);
+    let holds = self.groups.iter().any(|group| group.holds_lease);
     if !holds || now < self.policies_at {
       return;
     }
@@ -586,7 +586,7 @@
       lease::Call::Read => None,
     };
     let now = self.hub.now();
-    let leads = index == 0 && self.groups[index].holding;
+    let leads = index == 0 && self.groups[index].holds_lease;
     let record = match record {
       Some(record) if leads => Some(self.with_sums(now, record)),
       record => record,
@@ -616,7 +616,7 @@
     }
     group
       .plan
-      .set_ordering(group.holding && now >= self.policies_until);
+      .set_ordering(group.holds_lease && now >= self.policies_until);
     self.feed_plan(index);
     let began = Moment::now();
     let effects = self.groups[index].plan.step(now);
--- a/src/quarantine.rs
+++ b/src/quarantine.rs
@@ -164,7 +164,7 @@
   /// holds a lease.
   pub(crate) fn sync_quarantine(&mut self) {
     let now = self.hub.now();
-    let holding = self.groups.first().is_some_and(|group| group.holding);
+    let holding = self.groups.first().is_some_and(|group| group.holds_lease);
     let entries = self.registry.quarantined(now);
     if holding {
       let era = self.hub.gates.servers.progress().revision.era;
@@ -241,7 +241,8 @@
   }
 
   fn is_analyzer(&self, now: u64) -> bool {
-    self.groups.iter().any(|group| group.holding) || self.analyzers(now).contains(&self.own_address)
+    self.groups.iter().any(|group| group.holds_lease)
+      || self.analyzers(now).contains(&self.own_address)
   }
 
   /// Returns the analyzers other than this instance.
--- a/src/quotas.rs
+++ b/src/quotas.rs
@@ -106,7 +106,7 @@
     let Some(group) = self.groups.first() else {
       return;
     };
-    if group.holding {
+    if group.holds_lease {
       let grants = self.account(now, self.own_address, self.process, &uses);
       let sent = now;
       self.hub.apply(Event::Granted { sent, grants }, None);
@@ -140,7 +140,7 @@
 
   /// Answers an instance that reports its uses.
   pub(crate) fn hear_uses(&mut self, now: u64, uses: &Uses, from: SocketAddr) {
-    let holding = self.groups.first().is_some_and(|group| group.holding);
+    let holding = self.groups.first().is_some_and(|group| group.holds_lease);
     if !holding {
       return;
     }
--- a/src/statement/exchange.rs
+++ b/src/statement/exchange.rs
@@ -25,7 +25,7 @@
   pub(crate) fn statements(&mut self) {
     let now = self.hub.now();
     let changed = self.hub.state().take_statements();
-    let holding = self.groups.first().is_some_and(|group| group.holding);
+    let holding = self.groups.first().is_some_and(|group| group.holds_lease);
     for (server, own) in changed {
       match (holding, own) {
         (true, _) => self.published_statements.add(now, server),
--- a/tests/lease.rs
+++ b/tests/lease.rs
@@ -2,7 +2,7 @@
 //! store answers, loses or delays, and however long a machine stands still.
 
 use bendsaddle::{
-  lease::promise::{Promise, Request, short},
+  lease::promise::{Promise, Request, short_hash},
   lease::{Call, Heartbeat, Lease, Record},
   store::{Error, Object, Revision},
 };
@@ -88,7 +88,7 @@
 }
 
 fn machines(names: &[&str]) -> BTreeSet<u32> {
-  names.iter().map(|name| short(name)).collect()
+  names.iter().map(|name| short_hash(name)).collect()
 }
 
 /// Lets an instance make its calls; the store answers at once.
--- a/tests/outbox.rs
+++ b/tests/outbox.rs
@@ -11,15 +11,15 @@
 
 #[test]
 fn what_the_link_carries_goes_at_once() {
-  let mut outbox = Outbox::open(25_000);
+  let mut outbox = Outbox::new(25_000);
   outbox.push(vec![0; 500], instances(9));
-  assert_eq!(outbox.take(10).len(), 9);
+  assert_eq!(outbox.take_due(10).len(), 9);
   assert!(!outbox.has_pending());
 }
 
 #[test]
 fn what_it_does_not_carry_is_spread_and_none_is_lost() {
-  let mut outbox = Outbox::open(5_000);
+  let mut outbox = Outbox::new(5_000);
   let instances = instances(295);
   for number in 0..4 {
     outbox.push(vec![number; 1_000], instances.clone());
@@ -33,7 +33,7 @@
   let mut now = 1_000;
   let began = now;
   while outbox.has_pending() {
-    let due = outbox.take(now);
+    let due = outbox.take_due(now);
     let bytes: usize = due.iter().map(|(bytes, _)| bytes.len()).sum();
     assert!(
       bytes <= 5_000 * SLOT_MS as usize * 2 + 1_000,
