--- a/src/lease/mod.rs
+++ b/src/lease/mod.rs
@@ -1,14 +1,15 @@
-//! The lease under which one machine gives orders to a group of backend servers.
+//! The lease under which one machine sends orders to a group of backend servers.
 //!
-//! It lies in the platform's store. Its holder stops giving orders `length` after
-//! it began to write its last renewal; another machine takes it only `length` and
-//! `gap` after it learnt of that renewal, so that their orders lie `gap` apart
-//! however slow either is. All times are on the steady clock, which goes on while
-//! a process is frozen: a holder that wakes up finds its time over.
+//! The lease is an object in the platform's store. Its holder stops sending orders `duration` after
+//! it started to write its last renewal. Another machine acquires the lease no earlier than
+//! `duration` plus `gap` after it observed that renewal, so the orders of two holders are at least
+//! `gap` apart no matter how slow either machine is. All times are in milliseconds on the steady
+//! clock, which advances while a process is frozen: a holder that resumes finds its lease expired.
 //!
-//! The store may come back from an older copy. A record of an earlier era than the store's is the
-//! copy's, and takings since may be lost: nobody goes by it but to wait as long as any holder that
-//! it does not name may order. A holder whose time is not over goes on, and writes the lease again.
+//! The store may be restored from an older copy. A record of an earlier era than the store's comes
+//! from that copy, and later acquisitions may be lost. Machines use such a record only to wait for
+//! as long as a holder that it does not name may send orders. A holder whose lease has not expired
+//! continues and writes the lease again.
 
 pub mod promise;
 mod record;
@@ -17,140 +18,143 @@
 
 use crate::{
   lease::{
-    promise::{EXTENSION_MS, LATE_WRITE_MS, Needed, Promise, Request, Rounds, short_hash},
-    record::{Held, Seen},
+    promise::{
+      Candidates, MAX_EXTENSION_MS, MAX_WRITE_DELAY_MS, Promise, Request, Rounds, short_hash,
+    },
+    record::{Held, Observation},
   },
   store::{Error, Object, Result, Revision},
 };
 use std::{collections::BTreeSet, net::SocketAddr};
 
-/// The holder's time, as a part of the gap between two holders' orders: long
-/// enough for a slow store to answer, short enough to be taken over soon.
-const LENGTH_PERCENT: u64 = 50;
-/// Renewals within the holder's time.
-const RENEWALS: u64 = 2;
-/// Pause between two reads by an instance that hears nothing of the holder, ms.
-const READ_MS: u64 = 600;
-/// That pause is doubled so often at the most while reads show nothing new: when a holder
-/// was replaced, 76 instances read the lease 503 times in four seconds.
-const READ_DOUBLINGS: u32 = 3;
-/// Pause after a call that failed, ms.
-const RETRY_MS: u64 = 150;
-/// A renewal that is so late makes the holder ask for promises, ms: the store answers
-/// within some milliseconds.
-const ASK_MS: u64 = 250;
-/// Word of the holder that is older makes an instance read the lease, ms.
-const SILENT_MS: u64 = 1_200;
-
-/// A call to make.
+/// Lease duration as a percentage of the gap between two holders' orders: long enough for a slow
+/// store to respond, short enough for a quick takeover.
+const DURATION_PERCENT: u64 = 50;
+/// Number of times that a holder renews the lease within its duration.
+const RENEWALS_PER_DURATION: u64 = 2;
+/// Interval between reads by an instance that receives no heartbeat from the holder.
+const READ_INTERVAL_MS: u64 = 600;
+/// Limit on how often the read interval doubles while reads return nothing new. At a fixed interval
+/// 76 instances read the lease 503 times in four seconds when a holder was replaced.
+const MAX_READ_DOUBLINGS: u32 = 3;
+/// Delay after a failed call.
+const RETRY_DELAY_MS: u64 = 150;
+/// Delay of a renewal after which the holder requests promises; the store usually responds within a
+/// few milliseconds.
+const LATE_RENEWAL_MS: u64 = 250;
+/// An instance reads the lease if it received no heartbeat for this long.
+const HEARTBEAT_TIMEOUT_MS: u64 = 1_200;
+
+/// A call to the store.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Call {
   Read,
   Write { record: Record, revision: Revision },
 }
 
-/// One instance's view of a lease.
+/// One instance's view of a lease. Times are in milliseconds.
 #[derive(Clone, Debug)]
 pub struct Lease {
   machine: String,
   address: SocketAddr,
-  length: u64,
+  duration: u64,
   gap: u64,
-  seen: Option<Seen>,
+  observed: Option<Observation>,
   held: Option<Held>,
-  /// The highest term heard of.
-  highest: u64,
-  /// When the holder was last heard of, ms.
-  heard: u64,
-  /// A call is under way since, ms, and whether it takes the lease.
-  calling: Option<(u64, bool)>,
-  /// A write failed: only a read shows what the store holds.
+  /// Highest term observed so far.
+  highest_term: u64,
+  /// Time of the last contact with the holder.
+  holder_seen_at: u64,
+  /// Start time of the call in progress, and whether the call acquires the lease.
+  pending_call: Option<(u64, bool)>,
+  /// A write failed, so the content of the store is unknown until the next read.
   uncertain: bool,
-  /// No call before this time, ms.
-  rest_until: u64,
-  /// Spreads takers apart, ms.
+  /// No call is made before this time.
+  backoff_until: u64,
+  /// Random delay that keeps machines from acquiring the lease at the same time.
   jitter: u64,
-  reluctance: u64,
-  /// Machines heard of lately.
+  acquire_delay: u64,
+  /// Machines that reported recently.
   machines: BTreeSet<u32>,
-  /// No taking before this time, as promised, ms.
+  /// This machine promised not to acquire the lease before this time.
   promised_until: u64,
-  /// When this process started, ms.
-  started: u64,
-  /// A taking may reach the store until this time, ms: of this process, or of an earlier
-  /// one on this machine.
-  taking_until: u64,
-  /// Reads in a row that showed nothing new, and when the next one is due, ms.
-  old_reads: u32,
-  read_after: u64,
-  /// The lease was read since then: no such taking has reached the store, nor will.
-  clear: bool,
+  /// Start time of this process.
+  started_at: u64,
+  /// A write that acquires the lease, from this process or an earlier one on this machine, may
+  /// reach the store until this time.
+  acquire_in_flight_until: u64,
+  /// Number of consecutive reads that returned nothing new, and the time of the next read.
+  unchanged_reads: u32,
+  next_read_at: u64,
+  /// The lease was read after `acquire_in_flight_until`: no such write has reached the store or
+  /// will reach it.
+  acquire_settled: bool,
 }
 
 impl Lease {
-  /// The view of an instance that has not read the lease; `gap` is the least time
-  /// between two holders' orders, `now` when its process started, ms.
+  /// The view of an instance that has not read the lease. `gap` is the minimum time between the
+  /// orders of two holders, and `now` is the start time of the process.
   pub fn new(machine: &str, address: SocketAddr, gap: u64, jitter: u64, now: u64) -> Self {
     Self {
       machine: machine.into(),
       address,
-      length: gap * LENGTH_PERCENT / 100,
+      duration: gap * DURATION_PERCENT / 100,
       gap,
-      seen: None,
+      observed: None,
       held: None,
-      highest: 0,
-      heard: 0,
-      calling: None,
+      highest_term: 0,
+      holder_seen_at: 0,
+      pending_call: None,
       uncertain: false,
-      rest_until: 0,
+      backoff_until: 0,
       jitter,
-      reluctance: 0,
+      acquire_delay: 0,
       machines: BTreeSet::new(),
       promised_until: 0,
-      started: now,
-      taking_until: now + LATE_WRITE_MS,
-      clear: false,
-      old_reads: 0,
-      read_after: 0,
+      started_at: now,
+      acquire_in_flight_until: now + MAX_WRITE_DELAY_MS,
+      acquire_settled: false,
+      unchanged_reads: 0,
+      next_read_at: 0,
     }
   }
 
-  /// The term under which orders may go out now.
+  /// The term under which orders may be sent now; `None` if this machine may not send any.
   pub fn term(&self, now: u64) -> Option<u64> {
     let held = self.held.as_ref()?;
-    (now < held.until).then_some(held.term)
+    (now < held.valid_until).then_some(held.term)
   }
 
-  /// Until when orders may go out, ms.
+  /// Time until which orders may be sent; 0 if this machine does not hold the lease.
   pub fn valid_until(&self) -> u64 {
-    self.held.as_ref().map_or(0, |held| held.until)
+    self.held.as_ref().map_or(0, |held| held.valid_until)
   }
 
-  /// Where the holder hears of demand.
+  /// Address to which demand is reported; `None` if there is no known holder.
   pub fn holder(&self) -> Option<SocketAddr> {
-    let record = self.seen.as_ref()?.record.as_ref()?;
+    let record = self.observed.as_ref()?.record.as_ref()?;
     (!record.released).then_some(record.address)
   }
 
-  /// The heartbeat for other instances; none: this one is not the last holder.
+  /// The heartbeat for other instances; `None` if this machine is not the last holder.
   pub fn heartbeat(&self, now: u64) -> Option<Heartbeat> {
     let held = self.held.as_ref()?;
     Some(Heartbeat {
       machine: self.machine.clone(),
-      revision: self.seen.as_ref()?.revision,
-      age_ms: now.saturating_sub(held.until.saturating_sub(self.length)),
+      revision: self.observed.as_ref()?.revision,
+      age_ms: now.saturating_sub(held.valid_until.saturating_sub(self.duration)),
       term: held.term,
     })
   }
 
-  /// Takes up the holder's heartbeat, received from `address`.
+  /// Applies the holder's heartbeat, received from `address`.
   pub fn receive(&mut self, now: u64, heartbeat: Heartbeat, address: SocketAddr) {
-    let known = self.seen.as_ref();
-    let known = known.map_or(Revision::default(), |seen| seen.revision);
+    let known = self.observed.as_ref();
+    let known = known.map_or(Revision::default(), |observed| observed.revision);
     if heartbeat.revision < known {
       return;
     }
-    self.heard = now;
+    self.holder_seen_at = now;
     let since = now.saturating_sub(heartbeat.age_ms);
     if heartbeat.revision == known {
       return;
@@ -164,202 +168,212 @@
       machines: BTreeSet::new(),
       era: heartbeat.revision.era,
     };
-    self.compare(now, &record, false);
-    self.seen = Some(Seen {
+    self.release_unless_held(now, &record, false);
+    self.observed = Some(Observation {
       record: Some(record),
       revision: heartbeat.revision,
-      since,
-      read: false,
+      first_seen_at: since,
+      machines_known: false,
     });
   }
 
-  /// Takes up which machines are heard of.
+  /// Sets the machines that reported recently.
   pub fn set_machines(&mut self, machines: BTreeSet<u32>) {
     self.machines = machines;
   }
 
-  /// A question to all other machines, where a renewal is late.
+  /// The next request for promises to all other machines; `None` unless a renewal is late and a
+  /// round is due.
   pub fn next_promise_request(&mut self, now: u64) -> Option<Request> {
-    let (length, held) = (self.length, self.held.as_mut()?);
-    let late = held.asks_from(length);
-    let asks = now >= late && now < held.renewed + EXTENSION_MS;
-    if !asks || now < held.rounds.due() {
+    let (duration, held) = (self.duration, self.held.as_mut()?);
+    let late_at = held.promises_due_at(duration);
+    let needs_promises = now >= late_at && now < held.renewed_at + MAX_EXTENSION_MS;
+    if !needs_promises || now < held.rounds.due() {
       return None;
     }
     Some(Request {
       term: held.term,
-      extends: held.extends(now),
-      round: held.rounds.begin(now),
+      extends: held.can_extend(now),
+      round: held.rounds.start(now),
     })
   }
 
-  /// Answers a holder's question: with a promise, where nothing that this machine does
-  /// or did can take the lease before the promise is over.
-  pub fn promise(&mut self, now: u64, question: Request) -> Option<Promise> {
-    let seen = self.seen.as_ref()?;
-    let record = seen.record.as_ref()?;
-    // A copy may name a holder that others have followed.
-    let last = !seen.stale() && question.term >= self.highest;
-    let theirs = last && record.term == question.term && record.machine != self.machine;
-    let taking = !self.clear || matches!(self.calling, Some((_, true)));
-    if !(question.extends && theirs) || record.released || taking || self.held.is_some() {
+  /// Answers a holder's request. Returns a promise only if no call of this machine, past or
+  /// pending, can acquire the lease before the promise expires.
+  pub fn promise(&mut self, now: u64, request: Request) -> Option<Promise> {
+    let observed = self.observed.as_ref()?;
+    let record = observed.record.as_ref()?;
+    // A record from an older copy may name a holder that has been replaced since.
+    let is_latest = !observed.is_stale() && request.term >= self.highest_term;
+    let is_holder = is_latest && record.term == request.term && record.machine != self.machine;
+    let acquiring = !self.acquire_settled || matches!(self.pending_call, Some((_, true)));
+    if !(request.extends && is_holder) || record.released || acquiring || self.held.is_some() {
       return None;
     }
-    self.promised_until = now + self.kept();
-    self.heard = now;
+    self.promised_until = now + self.exclusive_ms();
+    self.holder_seen_at = now;
     Some(Promise {
       machine: short_hash(&self.machine),
-      term: question.term,
-      round: question.round,
+      term: request.term,
+      round: request.round,
     })
   }
 
-  /// Takes up a machine's promise: orders may go out for the lease's length after all
-  /// machines that could take it were asked.
+  /// Applies a machine's promise. Orders may be sent for the lease duration after the start of the
+  /// last round in which all machines that could acquire the lease have promised.
   pub fn receive_promise(&mut self, promise: &Promise) {
-    let length = self.length;
+    let duration = self.duration;
     let Some(held) = self.held.as_mut().filter(|held| held.term == promise.term) else {
       return;
     };
-    if let Some(asked) = held.rounds.answer(promise, &held.needed) {
-      let last = held.renewed + EXTENSION_MS;
-      held.until = held.until.max((asked + length).min(last));
+    if let Some(round_started_at) = held.rounds.record_promise(promise, &held.candidates) {
+      let limit = held.renewed_at + MAX_EXTENSION_MS;
+      held.valid_until = held
+        .valid_until
+        .max((round_started_at + duration).min(limit));
     }
   }
 
-  /// Gives up what this machine holds when the lease is another holder's. One that the store's
-  /// return may have lost is kept while its time lasts: nobody else can have taken it since.
-  fn compare(&mut self, now: u64, record: &Record, stale: bool) {
-    self.highest = self.highest.max(record.term);
-    let kept = self.kept();
-    let mine = |held: &Held| match stale {
-      true => held.alone(now, kept) && record.term <= held.term,
+  /// Drops this machine's lease if `record` shows another holder. A lease that a restore of the
+  /// store may have lost is kept until it expires, because no other machine can have acquired it
+  /// since.
+  fn release_unless_held(&mut self, now: u64, record: &Record, stale: bool) {
+    self.highest_term = self.highest_term.max(record.term);
+    let exclusive_ms = self.exclusive_ms();
+    let still_held = |held: &Held| match stale {
+      true => held.is_exclusive(now, exclusive_ms) && record.term <= held.term,
       false => record.machine == self.machine && record.term == held.term,
     };
-    if !self.held.as_ref().is_some_and(mine) {
+    if !self.held.as_ref().is_some_and(still_held) {
       self.held = None;
     }
   }
 
-  /// For how long after a renewal nobody else takes the lease, ms.
-  fn kept(&self) -> u64 {
-    self.length + self.gap
+  /// Time after a renewal during which no other machine acquires the lease, in milliseconds.
+  fn exclusive_ms(&self) -> u64 {
+    self.duration + self.gap
   }
 
-  /// Holds an instance that has other leases back from taking this one, ms.
-  pub fn set_acquire_delay(&mut self, reluctance: u64) {
-    self.reluctance = reluctance;
+  /// Sets how long this machine delays acquiring the lease, in milliseconds.
+  pub fn set_acquire_delay(&mut self, delay: u64) {
+    self.acquire_delay = delay;
   }
 
-  /// The call to make now.
+  /// The call to make now; `None` if none is due.
   pub fn next_call(&mut self, now: u64, stopping: bool) -> Option<Call> {
-    if self.calling.is_some() || now < self.rest_until {
+    if self.pending_call.is_some() || now < self.backoff_until {
       return None;
     }
-    let call = self.wanted(now, stopping)?;
-    let takes = self.held.is_none() && matches!(call, Call::Write { .. });
+    let call = self.choose_call(now, stopping)?;
+    let acquires = self.held.is_none() && matches!(call, Call::Write { .. });
     if let (Call::Write { record, .. }, Some(held)) = (&call, &mut self.held) {
-      held.needed.list(now, &record.machines);
+      held.candidates.add(now, &record.machines);
     }
-    self.calling = Some((now, takes));
+    self.pending_call = Some((now, acquires));
     Some(call)
   }
 
-  fn wanted(&self, now: u64, stopping: bool) -> Option<Call> {
-    if self.uncertain || !self.clear && now >= self.taking_until && self.held.is_none() {
+  fn choose_call(&self, now: u64, stopping: bool) -> Option<Call> {
+    if self.uncertain
+      || !self.acquire_settled && now >= self.acquire_in_flight_until && self.held.is_none()
+    {
       return Some(Call::Read);
     }
     if let Some(held) = &self.held {
-      return self.renewal(now, held, stopping);
+      return self.renew_call(now, held, stopping);
     }
     if stopping {
       return None;
     }
-    let Some(seen) = &self.seen else {
+    let Some(observed) = &self.observed else {
       return Some(Call::Read);
     };
-    if now >= self.free_at(seen) {
-      return Some(match seen.read || seen.record.is_none() {
-        true => self.taking(seen),
+    if now >= self.acquirable_at(observed) {
+      return Some(match observed.machines_known || observed.record.is_none() {
+        true => self.acquire_call(observed),
         false => Call::Read,
       });
     }
-    let silent = now >= self.silent_at(seen);
-    silent.then_some(Call::Read)
+    let timed_out = now >= self.holder_timeout_at(observed);
+    timed_out.then_some(Call::Read)
   }
 
-  fn renewal(&self, now: u64, held: &Held, stopping: bool) -> Option<Call> {
-    if !stopping && now < held.renewed + self.length / RENEWALS {
+  fn renew_call(&self, now: u64, held: &Held, stopping: bool) -> Option<Call> {
+    if !stopping && now < held.renewed_at + self.duration / RENEWALS_PER_DURATION {
       return None;
     }
-    let seen = self.seen.as_ref()?;
-    let renewal = seen.record.as_ref().map_or(0, |record| record.renewal);
+    let observed = self.observed.as_ref()?;
+    let renewal = observed.record.as_ref().map_or(0, |record| record.renewal);
     let record = Record {
       renewal: renewal + 1,
       released: stopping,
-      machines: self.others(),
-      ..self.record(held.term, seen.revision.era)
+      machines: self.other_machines(),
+      ..self.record(held.term, observed.revision.era)
     };
     Some(Call::Write {
       record,
-      revision: seen.revision,
+      revision: observed.revision,
     })
   }
 
-  /// When the lease is read because its holder is not heard of, ms.
-  fn silent_at(&self, seen: &Seen) -> u64 {
-    let silent = self.heard.max(seen.since) + SILENT_MS;
-    silent.max(self.read_after)
+  /// Time at which the lease is read if the holder sends no heartbeat.
+  fn holder_timeout_at(&self, observed: &Observation) -> u64 {
+    let timeout_at = self.holder_seen_at.max(observed.first_seen_at) + HEARTBEAT_TIMEOUT_MS;
+    timeout_at.max(self.next_read_at)
   }
 
-  /// When the lease may be taken, ms.
-  fn free_at(&self, seen: &Seen) -> u64 {
-    let spread = self.jitter + self.reluctance;
-    let free = match &seen.record {
-      None if seen.revision.era == 0 => seen.since + self.reluctance,
-      // The first taking may be lost.
-      None => seen.since.max(self.started) + self.kept() + spread,
-      // This machine's own earlier process has ended; takings since may be lost with a copy.
-      Some(record) if record.machine == self.machine && !seen.stale() => 0,
-      Some(record) if record.released && !seen.stale() => seen.since + self.gap + spread,
+  /// Time from which the lease may be acquired.
+  fn acquirable_at(&self, observed: &Observation) -> u64 {
+    let spread = self.jitter + self.acquire_delay;
+    let acquirable_at = match &observed.record {
+      None if observed.revision.era == 0 => observed.first_seen_at + self.acquire_delay,
+      // The store was restored and may have lost the first acquisition.
+      None => observed.first_seen_at.max(self.started_at) + self.exclusive_ms() + spread,
+      // The earlier process on this machine has ended. A stale record doesn't qualify, because a
+      // restore may have lost later acquisitions.
+      Some(record) if record.machine == self.machine && !observed.is_stale() => 0,
+      Some(record) if record.released && !observed.is_stale() => {
+        observed.first_seen_at + self.gap + spread
+      }
       Some(record) => {
         let own = short_hash(&self.machine);
-        let listed =
-          !seen.read || short_hash(&record.machine) == own || record.machines.contains(&own);
-        let extension = if listed { 0 } else { EXTENSION_MS };
-        // An earlier process on this machine may have promised until it ended.
-        seen.since.max(self.started) + extension + self.length + self.gap + spread
+        let listed = !observed.machines_known
+          || short_hash(&record.machine) == own
+          || record.machines.contains(&own);
+        let extension = if listed { 0 } else { MAX_EXTENSION_MS };
+        // An earlier process on this machine may have given promises until it ended.
+        observed.first_seen_at.max(self.started_at) + extension + self.duration + self.gap + spread
       }
     };
-    free.max(self.promised_until)
+    acquirable_at.max(self.promised_until)
   }
 
-  /// Machines heard of, but this one.
-  fn others(&self) -> BTreeSet<u32> {
+  /// Machines that reported recently, except this one.
+  fn other_machines(&self) -> BTreeSet<u32> {
     let mut others = self.machines.clone();
     others.remove(&short_hash(&self.machine));
     others
   }
 
-  fn taking(&self, seen: &Seen) -> Call {
-    // Those that the last holder knew of are likely to be there.
-    let mut machines = self.others();
-    if let Some(record) = &seen.record {
+  fn acquire_call(&self, observed: &Observation) -> Call {
+    // Machines that the last holder listed are probably still running.
+    let mut machines = self.other_machines();
+    if let Some(record) = &observed.record {
       machines.extend(&record.machines);
       machines.insert(short_hash(&record.machine));
       machines.remove(&short_hash(&self.machine));
     }
-    let term = seen.next_term();
+    let term = observed.next_term();
     Call::Write {
       record: Record {
         machines,
-        ..self.record(term, seen.revision.era)
+        ..self.record(term, observed.revision.era)
       },
-      revision: seen.revision,
+      revision: observed.revision,
     }
   }
 
-  /// A record of this machine's own.
+  /// A record that names this machine as the holder.
   fn record(&self, term: u64, era: u64) -> Record {
     Record {
       machine: self.machine.clone(),
@@ -372,160 +386,168 @@
     }
   }
 
-  /// When to look for a call again, ms.
+  /// Time of the next call or promise request.
   pub fn due(&self, now: u64) -> u64 {
-    let asked = self.held.as_ref().map_or(u64::MAX, |held| {
-      let late = held.asks_from(self.length);
-      match now < held.renewed + EXTENSION_MS {
-        true => late.max(held.rounds.due()),
+    let promises_due = self.held.as_ref().map_or(u64::MAX, |held| {
+      let late_at = held.promises_due_at(self.duration);
+      match now < held.renewed_at + MAX_EXTENSION_MS {
+        true => late_at.max(held.rounds.due()),
         false => u64::MAX,
       }
     });
-    let called = self.call_due(now);
-    called.min(asked).max(now)
+    let call_due = self.next_call_at(now);
+    call_due.min(promises_due).max(now)
   }
 
-  fn call_due(&self, now: u64) -> u64 {
-    if self.calling.is_some() {
-      return now + READ_MS;
+  fn next_call_at(&self, now: u64) -> u64 {
+    if self.pending_call.is_some() {
+      return now + READ_INTERVAL_MS;
     }
     if self.uncertain {
-      return self.rest_until.max(now);
+      return self.backoff_until.max(now);
     }
-    let due = match (&self.held, &self.seen) {
-      (None, _) if !self.clear && now >= self.taking_until => now,
-      (Some(held), _) => held.renewed + self.length / RENEWALS,
+    let due = match (&self.held, &self.observed) {
+      (None, _) if !self.acquire_settled && now >= self.acquire_in_flight_until => now,
+      (Some(held), _) => held.renewed_at + self.duration / RENEWALS_PER_DURATION,
       (None, None) => now,
-      (None, Some(seen)) => self.free_at(seen).min(self.silent_at(seen)),
+      (None, Some(observed)) => self
+        .acquirable_at(observed)
+        .min(self.holder_timeout_at(observed)),
     };
-    due.max(self.rest_until).max(now)
+    due.max(self.backoff_until).max(now)
   }
 
-  /// Takes up the outcome of a call; true: this machine has just taken the lease.
+  /// Applies the result of a call. Returns `true` if this machine has just acquired the lease.
   pub fn record_call_result(&mut self, now: u64, call: &Call, result: Result<Object>) -> bool {
-    let (sent, takes) = self.calling.take().unwrap_or((now, false));
+    let (sent, acquires) = self.pending_call.take().unwrap_or((now, false));
     match (call, result) {
       (Call::Read, result) => {
-        self.clear |= result.is_ok() && sent >= self.taking_until;
-        self.read(now, result);
+        self.acquire_settled |= result.is_ok() && sent >= self.acquire_in_flight_until;
+        self.apply_read(now, result);
         false
       }
-      (Call::Write { record, .. }, Ok(object)) => self.written(now, sent, record, &object),
+      (Call::Write { record, .. }, Ok(object)) => self.apply_write(now, sent, record, &object),
       (Call::Write { .. }, Err(error)) => {
-        if takes && error.may_have_run() {
-          self.taking_until = now + LATE_WRITE_MS;
-          self.clear = false;
+        if acquires && error.may_have_run() {
+          self.acquire_in_flight_until = now + MAX_WRITE_DELAY_MS;
+          self.acquire_settled = false;
         }
         self.uncertain = true;
-        self.rest_until = now + RETRY_MS;
+        self.backoff_until = now + RETRY_DELAY_MS;
         false
       }
     }
   }
 
-  fn written(&mut self, now: u64, sent: u64, record: &Record, object: &Object) -> bool {
+  fn apply_write(&mut self, now: u64, sent: u64, record: &Record, object: &Object) -> bool {
     if self
-      .seen
+      .observed
       .as_ref()
-      .is_some_and(|seen| seen.revision > object.revision)
+      .is_some_and(|observed| observed.revision > object.revision)
     {
-      // Another holder has been heard of since.
+      // A newer revision was observed while the write was in progress.
       return false;
     }
-    self.highest = self.highest.max(record.term);
-    self.seen = Some(Seen {
+    self.highest_term = self.highest_term.max(record.term);
+    self.observed = Some(Observation {
       record: Some(record.clone()),
       revision: object.revision,
-      since: now,
-      read: true,
+      first_seen_at: now,
+      machines_known: true,
     });
     if record.era < object.revision.era {
-      // Formed before the store's return, it met another object under the same number.
+      // The record was built before the store was restored and replaced a different object with the
+      // same revision number.
       self.uncertain = true;
-      let kept = self.kept();
-      self.held.take_if(|held| !held.alone(now, kept));
+      let exclusive_ms = self.exclusive_ms();
+      self
+        .held
+        .take_if(|held| !held.is_exclusive(now, exclusive_ms));
       return false;
     }
     if record.released {
       self.held = None;
       return false;
     }
-    let before = self.held.take();
-    let new = before.is_none();
-    let (taken, mut needed, rounds) = match before {
-      Some(held) => (held.taken, held.needed, held.rounds),
-      None => (now, Needed::default(), Rounds::default()),
+    let previous = self.held.take();
+    let acquired = previous.is_none();
+    let (acquired_at, mut candidates, rounds) = match previous {
+      Some(held) => (held.acquired_at, held.candidates, held.rounds),
+      None => (now, Candidates::default(), Rounds::default()),
     };
-    needed.list(sent, &record.machines);
-    needed.written(sent);
+    candidates.add(sent, &record.machines);
+    candidates.prune(sent);
     self.held = Some(Held {
       term: record.term,
-      until: sent + self.length,
-      renewed: sent,
-      taken,
-      needed,
+      valid_until: sent + self.duration,
+      renewed_at: sent,
+      acquired_at,
+      candidates,
       rounds,
     });
-    new
+    acquired
   }
 
-  fn read(&mut self, now: u64, result: Result<Object>) {
-    self.rest_until = now + READ_MS;
+  fn apply_read(&mut self, now: u64, result: Result<Object>) {
+    self.backoff_until = now + READ_INTERVAL_MS;
     match result {
       Ok(object) => {
         self.uncertain = false;
-        self.learn(now, object);
+        self.observe(now, object);
       }
       Err(Error::Absent { era }) => {
         self.uncertain = false;
-        self.rest_until = now;
-        self.absent(now, era);
+        self.backoff_until = now;
+        self.observe_absence(now, era);
       }
-      // Without an answer nothing new is known.
-      Err(_) => self.rest_until = now + RETRY_MS,
+      // An error other than `Absent` says nothing about the lease.
+      Err(_) => self.backoff_until = now + RETRY_DELAY_MS,
     }
   }
 
-  /// There is no lease: nobody ever took it, or its takings are lost.
-  fn absent(&mut self, now: u64, era: u64) {
+  /// Records that the store has no lease: it was never acquired, or a restore lost it.
+  fn observe_absence(&mut self, now: u64, era: u64) {
     let revision = Revision::first(era);
-    let known = self.seen.take();
-    let lost = known.filter(|seen| seen.record.is_some() && seen.revision.era < era);
-    let kept = self.kept();
+    let previous = self.observed.take();
+    let lost = previous.filter(|observed| observed.record.is_some() && observed.revision.era < era);
+    let exclusive_ms = self.exclusive_ms();
     self
       .held
-      .take_if(|held| lost.is_none() || !held.alone(now, kept));
-    self.seen = Some(Seen {
-      record: lost.and_then(|seen| seen.record),
+      .take_if(|held| lost.is_none() || !held.is_exclusive(now, exclusive_ms));
+    self.observed = Some(Observation {
+      record: lost.and_then(|observed| observed.record),
       revision,
-      since: now,
-      read: true,
+      first_seen_at: now,
+      machines_known: true,
     });
   }
 
-  fn learn(&mut self, now: u64, object: Object) {
-    let known = self.seen.as_ref().map(|seen| (seen.revision, seen.read));
-    let newer = (object.revision, true);
-    if known.is_some_and(|known| known >= newer) {
-      self.read_after = now + (READ_MS << self.old_reads.min(READ_DOUBLINGS));
-      self.old_reads += 1;
+  fn observe(&mut self, now: u64, object: Object) {
+    let known = self
+      .observed
+      .as_ref()
+      .map(|observed| (observed.revision, observed.machines_known));
+    let read = (object.revision, true);
+    if known.is_some_and(|known| known >= read) {
+      self.next_read_at = now + (READ_INTERVAL_MS << self.unchanged_reads.min(MAX_READ_DOUBLINGS));
+      self.unchanged_reads += 1;
       return;
     }
-    self.old_reads = 0;
+    self.unchanged_reads = 0;
     let Ok(record) = serde_json::from_value::<Record>(object.spec) else {
-      // Not a record of this version: whoever wrote it goes on holding it.
+      // The record has an unknown format; its writer keeps the lease.
       return;
     };
     let stale = record.era < object.revision.era;
-    self.compare(now, &record, stale);
-    let known = self.seen.take();
-    let since = known.filter(|seen| seen.revision == object.revision);
-    self.seen = Some(Seen {
+    self.release_unless_held(now, &record, stale);
+    let known = self.observed.take();
+    let unchanged = known.filter(|observed| observed.revision == object.revision);
+    self.observed = Some(Observation {
       record: Some(record),
       revision: object.revision,
-      since: since.map_or(now, |seen| seen.since),
-      read: true,
+      first_seen_at: unchanged.map_or(now, |observed| observed.first_seen_at),
+      machines_known: true,
     });
-    self.rest_until = now;
+    self.backoff_until = now;
   }
 }
--- a/src/lease/promise.rs
+++ b/src/lease/promise.rs
@@ -1,44 +1,44 @@
-//! How a holder goes on while the store does not answer it: every other machine that
-//! could take the lease promises not to, for as long as it would wait after a renewal.
+//! Extends a lease while the store does not respond to the holder: every other machine that could
+//! acquire the lease promises not to, for as long as it would wait after a renewal.
 //!
-//! The lease's record lists the machines that the holder has heard of. A listed machine
-//! may take the lease soon after the holder falls silent, so its promise is needed; one
-//! that is not listed waits until no extension can be in force any more. A machine whose
-//! own taking may still reach the store promises nothing. docs/PLATFORM.md argues why
-//! orders of two holders keep their distance.
+//! The lease record lists the machines known to the holder. A listed machine may acquire the lease
+//! soon after it stops receiving heartbeats, so its promise is required. A machine that is not
+//! listed waits until no extension can be in force any more. A machine whose own acquisition may
+//! still reach the store gives no promise. docs/PLATFORM.md explains why the orders of two holders
+//! stay apart.
 
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// A holder goes on without the store for at most this long after its last renewal, ms.
-pub(crate) const EXTENSION_MS: u64 = 20_000;
-/// A write without answer, or one whose sender has ended, takes effect within this time
-/// or never, ms (docs/DESIGN.md, timing assumptions).
-pub(crate) const LATE_WRITE_MS: u64 = 10_000;
-/// A copy from which the store comes back is younger than this, ms. It shows every taking and every
-/// list of machines that is older; so a younger taking is not extended, and machines that a younger
-/// record listed are asked too.
-pub(crate) const COPY_MS: u64 = 10_000;
-/// Pause between two rounds of questions, ms: an extension lasts several.
-const ROUND_MS: u64 = 200;
-/// Rounds whose answers still count.
-const ROUNDS: usize = 16;
+/// Maximum time after the last renewal for which a holder continues without the store.
+pub(crate) const MAX_EXTENSION_MS: u64 = 20_000;
+/// A write that got no response, or whose sender has ended, takes effect within this time or never
+/// (docs/DESIGN.md, timing assumptions).
+pub(crate) const MAX_WRITE_DELAY_MS: u64 = 10_000;
+/// Maximum age of a copy from which the store is restored. The copy contains every older
+/// acquisition and every older list of machines. A more recent acquisition is therefore not
+/// extended, and machines listed in a more recent record must promise too.
+pub(crate) const MAX_COPY_AGE_MS: u64 = 10_000;
+/// Interval between rounds of promise requests; an extension covers several rounds.
+const ROUND_INTERVAL_MS: u64 = 200;
+/// Number of recent rounds whose promises are still accepted.
+const MAX_ROUNDS: usize = 16;
 
-/// A machine's name, short enough to be listed for each of hundreds.
+/// Hash of a machine's name, small enough to list hundreds of machines in a record.
 pub fn short_hash(machine: &str) -> u32 {
   crate::backend::short_hash(machine)
 }
 
-/// Asks a machine not to take the lease.
+/// Request to a machine not to acquire the lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Request {
   pub term: u64,
   pub round: u32,
-  /// A promise is asked for; otherwise only when the store answered others.
+  /// Whether a promise is requested; if not, only the time since the store last responded is.
   pub extends: bool,
 }
 
-/// A machine's promise not to take the lease from the holder of a term.
+/// A machine's promise not to acquire the lease while the holder of `term` extends it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Promise {
   pub machine: u32,
@@ -46,61 +46,71 @@
   pub round: u32,
 }
 
-/// Machines whose promise a holder needs: those of each record that it wrote, or may have written,
-/// within the time that a copy may lack.
+/// Machines whose promise a holder requires: those listed in each record that it wrote, or may have
+/// written, recently enough to be missing from a copy of the store.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub(crate) struct Needed {
-  /// When each was last listed, ms.
-  machines: BTreeMap<u32, u64>,
+pub(crate) struct Candidates {
+  /// Time at which each machine was last listed, in milliseconds.
+  listed_at: BTreeMap<u32, u64>,
 }
 
-impl Needed {
-  /// A record that lists some machines is written.
-  pub(crate) fn list(&mut self, now: u64, machines: &BTreeSet<u32>) {
+impl Candidates {
+  /// Adds the machines of a record that is written at `now`.
+  pub(crate) fn add(&mut self, now: u64, machines: &BTreeSet<u32>) {
     let listed = machines.iter().map(|machine| (*machine, now));
-    self.machines.extend(listed);
+    self.listed_at.extend(listed);
   }
 
-  /// A record has surely been written after those that were long before.
-  pub(crate) fn written(&mut self, sent: u64) {
-    self.machines.retain(|_, at| sent < *at + COPY_MS);
+  /// Removes machines last listed at least [`MAX_COPY_AGE_MS`] before `sent`, the time of a write
+  /// that succeeded.
+  pub(crate) fn prune(&mut self, sent: u64) {
+    self.listed_at.retain(|_, at| sent < *at + MAX_COPY_AGE_MS);
   }
 }
 
-/// The holder's rounds of questions.
+/// The holder's rounds of promise requests.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(crate) struct Rounds {
-  /// Rounds and when each was begun, ms.
-  sent: VecDeque<(u32, u64)>,
-  /// The last round that each machine answered.
-  answered: BTreeMap<u32, u32>,
-  next: u32,
+  /// Recent rounds with their start times in milliseconds, oldest first.
+  recent: VecDeque<(u32, u64)>,
+  /// The last round in which each machine gave a promise.
+  last_answered: BTreeMap<u32, u32>,
+  /// Number of the last round; 0 if there was none.
+  last_number: u32,
 }
 
 impl Rounds {
-  /// When the next round is due, ms.
+  /// Time at which the next round is due, in milliseconds.
   pub(crate) fn due(&self) -> u64 {
-    self.sent.back().map_or(0, |(_, sent)| sent + ROUND_MS)
+    self
+      .recent
+      .back()
+      .map_or(0, |(_, started_at)| started_at + ROUND_INTERVAL_MS)
   }
 
-  /// Begins a round.
-  pub(crate) fn begin(&mut self, now: u64) -> u32 {
-    self.next += 1;
-    self.sent.push_back((self.next, now));
-    if self.sent.len() > ROUNDS {
-      self.sent.pop_front();
+  /// Starts a round and returns its number.
+  pub(crate) fn start(&mut self, now: u64) -> u32 {
+    self.last_number += 1;
+    self.recent.push_back((self.last_number, now));
+    if self.recent.len() > MAX_ROUNDS {
+      self.recent.pop_front();
     }
-    self.next
+    self.last_number
   }
 
-  /// Takes up an answer; gives when the last round began that all of `needed` answered.
-  pub(crate) fn answer(&mut self, promise: &Promise, needed: &Needed) -> Option<u64> {
-    let last = self.answered.entry(promise.machine).or_default();
+  /// Records a promise. Returns the start time of the last round in which all `candidates`
+  /// promised; `None` if there is no such round.
+  pub(crate) fn record_promise(
+    &mut self,
+    promise: &Promise,
+    candidates: &Candidates,
+  ) -> Option<u64> {
+    let last = self.last_answered.entry(promise.machine).or_default();
     *last = promise.round.max(*last);
-    let answers = needed.machines.keys();
-    let answers = answers.map(|machine| self.answered.get(machine));
-    let all = answers.min().flatten().copied()?;
-    let whole = self.sent.iter().rev().find(|(round, _)| *round <= all);
-    whole.map(|(_, sent)| *sent)
+    let answered = candidates.listed_at.keys();
+    let answered = answered.map(|machine| self.last_answered.get(machine));
+    let common = answered.min().flatten().copied()?;
+    let complete = self.recent.iter().rev().find(|(round, _)| *round <= common);
+    complete.map(|(_, started_at)| *started_at)
   }
 }
--- a/src/lease/record.rs
+++ b/src/lease/record.rs
@@ -1,104 +1,108 @@
-//! What lies in the store of a lease, what other instances hear of it, and what one of them knows.
+//! The lease record in the store, the heartbeat to other instances, and one instance's knowledge of
+//! the lease.
 
-use super::{ASK_MS, RENEWALS};
+use super::{LATE_RENEWAL_MS, RENEWALS_PER_DURATION};
 use crate::{
-  lease::promise::{COPY_MS, Needed, Rounds},
+  lease::promise::{Candidates, MAX_COPY_AGE_MS, Rounds},
   store::Revision,
 };
 use serde::{Deserialize, Serialize};
 use std::{collections::BTreeSet, net::SocketAddr};
 
-/// Revisions that a copy of the store may lack at the most: copies are some seconds old, and the store
-/// takes some hundred changes a second.
-const REVISIONS_LOST: u64 = 1_000_000;
+/// Maximum number of revisions that a copy of the store may lack: copies are a few seconds old, and
+/// the store accepts a few hundred changes per second.
+const MAX_LOST_REVISIONS: u64 = 1_000_000;
 
-/// The lease as it lies in the store.
+/// The lease as stored.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Record {
-  /// The machine; orders that come from it are one holder's.
+  /// The holder's machine; all orders from one machine belong to the same holder.
   pub machine: String,
-  /// Where the holder hears of demand.
+  /// Address at which the holder receives demand reports.
   pub address: SocketAddr,
-  /// Rises with every taking.
+  /// Increases with every acquisition.
   pub term: u64,
-  /// Rises with every renewal of a term.
+  /// Increases with every renewal within a term.
   pub renewal: u64,
-  /// The holder has stopped and gives no further orders.
+  /// The holder has stopped and sends no more orders.
   pub released: bool,
-  /// Machines whose promise the holder needs to go on without the store.
+  /// Machines whose promise the holder requires to continue without the store.
   #[serde(default)]
   pub machines: BTreeSet<u32>,
-  /// The store's era in which it was written.
+  /// Era of the store in which the record was written.
   #[serde(default)]
   pub era: u64,
 }
 
-/// The holder's heartbeat: its last renewal, for other instances.
+/// The holder's heartbeat, which tells other instances about its last renewal.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Heartbeat {
   pub machine: String,
   pub revision: Revision,
-  /// Since the renewal was begun, or promises were asked for that all gave, ms.
+  /// Time in milliseconds since the start of the renewal, or of a later promise round that all
+  /// candidates answered.
   pub age_ms: u64,
   pub term: u64,
 }
 
-/// What is known of the lease in the store.
+/// What an instance knows about the lease in the store.
 #[derive(Clone, Debug, PartialEq)]
-pub(super) struct Seen {
-  /// None: there is no lease.
+pub(super) struct Observation {
+  /// `None` if there is no lease.
   pub(super) record: Option<Record>,
   pub(super) revision: Revision,
-  /// When this revision was first known of, ms.
-  pub(super) since: u64,
-  /// The record was read, or written here: its machines are known.
-  pub(super) read: bool,
+  /// Time at which this revision was first known, in milliseconds.
+  pub(super) first_seen_at: u64,
+  /// The record was read or written by this instance, so its list of machines is known.
+  pub(super) machines_known: bool,
 }
 
-impl Seen {
-  /// Takings since the record was written may be lost.
-  pub(super) fn stale(&self) -> bool {
+impl Observation {
+  /// Whether acquisitions after this record may be lost.
+  pub(super) fn is_stale(&self) -> bool {
     let record = self.record.as_ref();
     record.is_some_and(|record| record.era < self.revision.era)
   }
 
-  /// The term of the next taking: it follows the revision that the taking replaces, which no other
-  /// one does, also where takings are lost.
+  /// The term of the next acquisition. It is derived from the revision that the acquisition
+  /// replaces, so no other acquisition gets the same term, even if acquisitions are lost.
   pub(super) fn next_term(&self) -> u64 {
     let Revision { era, number } = self.revision;
     let term = self.record.as_ref().map_or(0, |record| record.term);
-    term.max(era * REVISIONS_LOST + number) + 1
+    term.max(era * MAX_LOST_REVISIONS + number) + 1
   }
 }
 
-/// What this machine holds.
+/// The lease while this machine holds it. Times are in milliseconds.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct Held {
   pub(super) term: u64,
-  /// Orders may go out before this time, ms.
-  pub(super) until: u64,
-  /// When the last renewal was begun, ms.
-  pub(super) renewed: u64,
-  /// When it was taken, ms.
-  pub(super) taken: u64,
-  pub(super) needed: Needed,
+  /// Orders may be sent before this time.
+  pub(super) valid_until: u64,
+  /// Start time of the last renewal.
+  pub(super) renewed_at: u64,
+  /// Time at which the lease was acquired.
+  pub(super) acquired_at: u64,
+  pub(super) candidates: Candidates,
   pub(super) rounds: Rounds,
 }
 
 impl Held {
-  /// Whether nobody else can have taken the lease yet: others wait for so long after a renewal, ms.
-  pub(super) fn alone(&self, now: u64, kept: u64) -> bool {
-    now < self.until.max(self.renewed + kept)
+  /// Whether no other machine can have acquired the lease yet: others wait `exclusive_ms` after a
+  /// renewal.
+  pub(super) fn is_exclusive(&self, now: u64, exclusive_ms: u64) -> bool {
+    now < self.valid_until.max(self.renewed_at + exclusive_ms)
   }
 
-  /// From when others are asked, ms.
-  pub(super) fn asks_from(&self, length: u64) -> u64 {
-    self.renewed + length / RENEWALS + ASK_MS
+  /// Time from which promises are requested.
+  pub(super) fn promises_due_at(&self, duration: u64) -> u64 {
+    self.renewed_at + duration / RENEWALS_PER_DURATION + LATE_RENEWAL_MS
   }
 
-  /// Whether promises may extend it: any copy of the store shows its taking.
-  pub(super) fn extends(&self, now: u64) -> bool {
-    now >= self.taken + COPY_MS
+  /// Whether promises may extend the lease: only once every copy of the store contains its
+  /// acquisition.
+  pub(super) fn can_extend(&self, now: u64) -> bool {
+    now >= self.acquired_at + MAX_COPY_AGE_MS
   }
 }
