--- a/src/exchange.rs
+++ b/src/exchange.rs
@@ -1,5 +1,5 @@
-//! What instances exchange: reports of demand to the holders of leases,
-//! and their updates of what servers hold.
+//! Exchange between instances: demand reports to the lease holders, and the holders' updates of the
+//! models that servers hold.
 
 use crate::{
   clock::Moment,
@@ -14,23 +14,24 @@
 use slog::{info, warn};
 use std::{collections::BTreeSet, net::SocketAddr, time::Duration};
 
-/// The holder publishes the list of instances this often, ms.
-const MEMBERS_MS: u64 = 2_000;
-/// One of so many rounds of questions for promises is logged.
-const ROUNDS_LOGGED: u32 = 10;
-/// Part of its link that a holder takes to publish, as a divisor: it serves requests too.
-pub(crate) const PUBLISH_PART: f64 = 2.0;
-/// Bits of a byte, and bits that a link of 1 Mbit/s carries in a millisecond.
-pub(crate) const BITS: f64 = 8.0;
-pub(crate) const BITS_MS: f64 = 1_000.0;
+/// Interval at which the holder publishes the list of instances.
+const MEMBERS_INTERVAL_MS: u64 = 2_000;
+/// One of this many rounds of promise requests is logged.
+const ROUNDS_PER_LOG_LINE: u32 = 10;
+/// A holder publishes at the rate of its link divided by this, because it also serves requests.
+pub(crate) const PUBLISH_LINK_DIVISOR: f64 = 2.0;
+pub(crate) const BITS_PER_BYTE: f64 = 8.0;
+/// Bits that a link of 1 Mbit/s transmits per millisecond.
+pub(crate) const MBPS_BITS_PER_MS: f64 = 1_000.0;
 
 impl Planner {
-  /// Takes up a holder's update.
-  pub(crate) fn hear(&mut self, now: u64, mut update: Update, from: SocketAddr) {
+  /// Applies a holder's update.
+  pub(crate) fn receive_update(&mut self, now: u64, mut update: Update, from: SocketAddr) {
     let groups = self.groups.len() as u32;
     let Some(group) = self.groups.get_mut(update.group as usize) else {
-      warn!(self.hub.log, "instances differ in their groups"; "from" => %from,
-        "group" => update.group, "groups" => groups);
+      warn!(self.hub.log,
+        "ignoring an update for an unknown group; instances are configured with different groups";
+        "from" => %from, "group" => update.group, "groups" => groups);
       return;
     };
     let term = update.heartbeat.term;
@@ -38,15 +39,15 @@
     if !update.members.is_empty() {
       self.members = update.members;
     }
-    let holding = group.holds_lease;
-    let successor = !holding && term != group.known.term;
+    let holds_lease = group.holds_lease;
+    let successor = !holds_lease && term != group.position.term;
     self.receive_store_age(update.store);
     self.receive_quarantine(now, &update.quarantined, from);
     if let Some(sums) = update.sums.take() {
       self.hub.apply(Event::QuotaUsage(sums.clone()), None);
       self.known_sums = Some((now, sums));
     }
-    if holding {
+    if holds_lease {
       return;
     }
     if successor {
@@ -55,9 +56,9 @@
     let group = &mut self.groups[update.group as usize];
     self.hub.gates.deployments.follow(update.deployments);
     self.hub.gates.servers.follow(update.servers);
-    let fit = group.known.advance(term, update.since, update.latest);
-    // The next report asks for what is lacking.
-    self.behind |= fit == Fit::Gap;
+    let fit = group.position.advance(term, update.since, update.latest);
+    // The next report requests the missing changes.
+    self.needs_resync |= fit == Fit::Gap;
     let event = Event::Updated {
       holdings: match fit {
         Fit::Gap => Vec::new(),
@@ -70,26 +71,33 @@
     self.hub.apply(event, None);
   }
 
-  /// A holder whose renewal is late asks the others not to take its lease.
-  pub(crate) fn ask_promises(&mut self, now: u64, index: usize) {
+  /// Requests promises from the other instances if this holder's renewal is late.
+  pub(crate) fn request_promises(&mut self, now: u64, index: usize) {
     let group = &mut self.groups[index];
-    let Some(question) = group.lease.next_promise_request(now) else {
+    let Some(request) = group.lease.next_promise_request(now) else {
       return;
     };
-    if question.round % ROUNDS_LOGGED == 1 {
-      info!(self.hub.log, "promises asked for"; "lease" => &group.name, "term" => question.term,
-        "round" => question.round, "orders_until_ms" => group.lease.valid_until(), "now_ms" => now);
+    if request.round % ROUNDS_PER_LOG_LINE == 1 {
+      info!(self.hub.log, "requested promises from other instances"; "lease" => &group.name,
+        "term" => request.term, "round" => request.round,
+        "orders_until_ms" => group.lease.valid_until(), "now_ms" => now);
     }
     let members = self.peer_addresses(now, index);
-    self.send(&Message::Question(index as u32, question), &members);
+    self.send(&Message::PromiseRequest(index as u32, request), &members);
   }
 
-  /// Answers a holder that asks for a promise.
-  pub(crate) fn promise(&mut self, now: u64, index: u32, question: Request, from: SocketAddr) {
+  /// Answers a holder's request for a promise.
+  pub(crate) fn answer_promise_request(
+    &mut self,
+    now: u64,
+    index: u32,
+    request: Request,
+    from: SocketAddr,
+  ) {
     let Some(group) = self.groups.get_mut(index as usize) else {
       return;
     };
-    let promise = group.lease.promise(now, question);
+    let promise = group.lease.promise(now, request);
     let message = Message::Promise(index, promise, self.store_age());
     self.send(&message, &[from]);
   }
@@ -99,30 +107,30 @@
     age.map(|age| age.as_millis() as u64)
   }
 
-  /// Takes up when the store answered another instance.
+  /// Records when the store last responded to another instance.
   pub(crate) fn receive_store_age(&self, age: StoreAge) {
-    // What waited in the socket while this process stood still would look fresh.
+    // After a stall, datagrams may have waited in the socket, so the ages in them are too low.
     let age = age.filter(|_| !self.stalled).map(Duration::from_millis);
     if let Some(at) = age.and_then(|age| Moment::now().checked_sub(age)) {
       self.hub.gates.reachability.record_peer_response(at);
     }
   }
 
-  /// Where the instances hear of a group, this one among them.
-  fn members(&self, now: u64, index: usize) -> Vec<SocketAddr> {
+  /// Addresses of all instances that receive updates of a group, including this one.
+  fn member_addresses(&self, now: u64, index: usize) -> Vec<SocketAddr> {
     let members = self.groups[index].plan.members(now).into_iter();
     let members: BTreeSet<SocketAddr> = members.chain(self.members.iter().copied()).collect();
     members.into_iter().collect()
   }
 
-  /// Where the other instances hear of a group.
+  /// Addresses of the other instances that receive updates of a group.
   pub(crate) fn peer_addresses(&self, now: u64, index: usize) -> Vec<SocketAddr> {
-    let mut members = self.members(now, index);
+    let mut members = self.member_addresses(now, index);
     members.retain(|member| *member != self.own_address);
     members
   }
 
-  /// The gate of a kind's changes.
+  /// The gate for changes of this kind.
   pub(crate) fn gate(&self, kind: Kind) -> &Gate {
     match kind {
       Kind::Deployments => &self.hub.gates.deployments,
@@ -130,9 +138,8 @@
     }
   }
 
-  /// Sends the other instances what this one read of the store for them: before that
-  /// each fetched every change itself, 608 calls of 76 instances while 90 servers entered
-  /// themselves.
+  /// Sends the other instances the changes that this one read from the store. If each instance
+  /// reads every change itself, 76 instances make 608 calls while 90 servers register.
   pub(crate) fn publish_changes(&mut self) {
     let now = self.hub.now();
     for kind in [Kind::Deployments, Kind::Servers] {
@@ -149,17 +156,22 @@
     }
   }
 
-  /// Reports to the holders what is wanted and running here.
-  pub(crate) fn report(&mut self, wanted: bool) {
+  /// Reports waiting and running requests of this instance to the holders, immediately if
+  /// `requested` and otherwise when the next report is due.
+  pub(crate) fn report(&mut self, requested: bool) {
     let now = self.hub.now();
-    let due = self.reported + self.pause();
-    if !wanted && now < due {
+    let due = self.last_report_at + self.report_interval_ms();
+    if !requested && now < due {
       return;
     }
-    self.reported = now;
-    let report = self.state_report(now);
-    self.lacked = if self.behind { self.lacked + 1 } else { 0 };
-    self.behind = false;
+    self.last_report_at = now;
+    let report = self.build_report(now);
+    self.resync_attempts = if self.needs_resync {
+      self.resync_attempts + 1
+    } else {
+      0
+    };
+    self.needs_resync = false;
     let mut holders: Vec<SocketAddr> = Vec::new();
     for group in &mut self.groups {
       if group.leads(now) {
@@ -175,10 +187,10 @@
     }
     let message = Message::Report(report.clone());
     self.send(&message, &holders);
-    self.last = Some(report);
+    self.last_report = Some(report);
   }
 
-  fn state_report(&self, now: u64) -> Report {
+  fn build_report(&self, now: u64) -> Report {
     let mut state = self.hub.state();
     let strain = state.take_strain();
     let running = state.running.iter().filter_map(|((key, model), count)| {
@@ -193,103 +205,109 @@
       missing: state.missing(now),
       resting: state.resting(now),
       strain,
-      known: self.groups.iter().map(|group| group.known.count).collect(),
-      behind: self.behind,
+      known: self
+        .groups
+        .iter()
+        .map(|group| group.position.count)
+        .collect(),
+      behind: self.needs_resync,
     }
   }
 
-  /// Sends a datagram to some instances at once.
+  /// Sends a datagram to several instances immediately.
   pub(crate) fn send(&self, message: &Message, to: &[SocketAddr]) {
     match postcard::to_stdvec(message) {
       Ok(bytes) => {
         for address in to {
-          // A datagram that is lost is sent again.
+          // Errors are ignored because lost datagrams are sent again.
           let _ = self.socket.send_to(&bytes, address);
         }
       }
-      Err(error) => warn!(self.hub.log, "message not encoded"; "error" => %error),
+      Err(error) => warn!(self.hub.log, "failed to encode a message"; "error" => %error),
     }
   }
 
-  /// Sends a datagram to some instances as the link allows.
+  /// Queues a datagram for several instances, to be sent at the rate that the link allows.
   pub(crate) fn send_paced(&mut self, message: &Message, to: &[SocketAddr]) {
     match postcard::to_stdvec(message) {
       Ok(bytes) => {
-        // Each time another one is the last.
+        // Start at a random instance so that the last position varies.
         let first = rand::random_range(0..to.len().max(1));
-        let turned = to[first..].iter().chain(&to[..first]);
-        self.outbox.push(bytes, turned.copied());
-        self.flush();
+        let rotated = to[first..].iter().chain(&to[..first]);
+        self.outbox.push(bytes, rotated.copied());
+        self.flush_outbox();
       }
-      Err(error) => warn!(self.hub.log, "message not encoded"; "error" => %error),
+      Err(error) => warn!(self.hub.log, "failed to encode a message"; "error" => %error),
     }
   }
 
-  /// Sends what is due of what waits.
-  pub(crate) fn flush(&mut self) {
+  /// Sends the queued datagrams that are due.
+  pub(crate) fn flush_outbox(&mut self) {
     for (bytes, address) in self.outbox.take_due(self.hub.now()) {
-      // A datagram that is lost is sent again.
+      // Errors are ignored because lost datagrams are sent again.
       let _ = self.socket.send_to(&bytes, address);
     }
   }
 
-  /// Publishes an update of a group's holdings, to one instance or to all.
+  /// Publishes an update of a group's holdings to one instance or to all.
   pub(crate) fn publish(&mut self, index: usize, update: &Publication) {
-    // A change should reach the others before the progress that names it.
+    // Changes must be sent before the progress that refers to them.
     self.publish_changes();
     let now = self.hub.now();
     let Some(heartbeat) = self.groups[index].lease.heartbeat(now) else {
       return;
     };
-    let members = self.members(now, index);
+    let members = self.member_addresses(now, index);
     let instances = members.len().max(1);
-    let own = self.own_address;
+    let own_address = self.own_address;
     let others = match update.to {
       Some(address) => vec![address],
       None => members.clone(),
     };
-    let (mine, others): (Vec<_>, Vec<_>) = others.into_iter().partition(|one| *one == own);
+    let (mine, others): (Vec<_>, Vec<_>) = others
+      .into_iter()
+      .partition(|address| *address == own_address);
     let mine = update.to.is_none() || !mine.is_empty();
-    let listed = self.list_members(now, index, update, members);
-    let new = update.to.is_some() || !listed.is_empty();
-    let head = Update {
+    let published_members = self.members_to_publish(now, index, update, members);
+    let extended = update.to.is_some() || !published_members.is_empty();
+    let header = Update {
       group: index as u32,
       heartbeat: heartbeat.clone(),
       deployments: self.hub.gates.deployments.progress(),
       servers: self.hub.gates.servers.progress(),
       store: self.store_age(),
       instances: instances as u32,
-      members: listed,
+      members: published_members,
       since: update.since,
       latest: update.latest,
       holdings: Vec::new(),
       loads: update.loads.clone(),
-      // With each update 256 entries would be 1.7 MB for 295 instances.
-      quarantined: match new {
+      // Sending 256 entries with every update would take 1.7 MB for 295 instances.
+      quarantined: match extended {
         true => self.registry.quarantined(now),
         false => Vec::new(),
       },
-      // One that goes to a single instance must not take the others' turn.
+      // An update for a single instance must not count as the periodic publication to all.
       sums: match update.to {
         Some(_) => None,
         None => self.sums(now),
       },
     };
-    self.send_parts(head, update, &others);
-    if new {
+    self.send_parts(header, update, &others);
+    if extended {
       let statements = self.hub.state().statements(now);
       self.publish_statements(statements, &others);
       self.republish_suspects(now, &others);
     }
-    let pause = self.outbox.drain_time_ms();
-    self.groups[index].plan.set_publish_interval(pause);
+    let interval = self.outbox.drain_time_ms();
+    self.groups[index].plan.set_publish_interval(interval);
     if mine {
-      self.take_own(index, heartbeat.term, update, instances);
+      self.apply_own_update(index, heartbeat.term, update, instances);
     }
   }
 
-  /// The list of instances, where it is due to be published.
-  fn list_members(
+  /// The list of instances if it is due to be published; otherwise empty.
+  fn members_to_publish(
     &mut self,
     now: u64,
     index: usize,
@@ -297,33 +315,33 @@
     members: Vec<SocketAddr>,
   ) -> Vec<SocketAddr> {
     let group = &mut self.groups[index];
-    if update.to.is_some() || now < group.members_sent + MEMBERS_MS {
+    if update.to.is_some() || now < group.members_published_at + MEMBERS_INTERVAL_MS {
       return Vec::new();
     }
-    group.members_sent = now;
+    group.members_published_at = now;
     self.members = group.plan.members(now);
     members
   }
 
-  /// Sends an update in parts; only the first one carries members, loads and quarantine.
-  fn send_parts(&mut self, mut head: Update, update: &Publication, to: &[SocketAddr]) {
+  /// Sends an update in parts; only the first part carries members, loads, quarantine and sums.
+  fn send_parts(&mut self, mut header: Update, update: &Publication, to: &[SocketAddr]) {
     for part in parts(update) {
-      head.since = part.since;
-      head.latest = part.latest;
-      head.holdings = part.holdings;
-      let message = Message::Update(head.clone());
+      header.since = part.since;
+      header.latest = part.latest;
+      header.holdings = part.holdings;
+      let message = Message::Update(header.clone());
       self.send_paced(&message, to);
-      head.members.clear();
-      head.loads.clear();
-      head.quarantined.clear();
-      head.sums = None;
+      header.members.clear();
+      header.loads.clear();
+      header.quarantined.clear();
+      header.sums = None;
     }
   }
 
-  /// Takes up an update of this instance's own.
-  fn take_own(&mut self, index: usize, term: u64, update: &Publication, instances: usize) {
+  /// Applies an update that this instance publishes itself.
+  fn apply_own_update(&mut self, index: usize, term: u64, update: &Publication, instances: usize) {
     let groups = self.groups.len() as u32;
-    self.groups[index].known = Position {
+    self.groups[index].position = Position {
       term,
       count: update.latest,
     };
--- a/src/message.rs
+++ b/src/message.rs
@@ -1,5 +1,5 @@
-//! Datagrams between routing instances, encoded by `postcard`. All are soft state:
-//! one that is lost is sent again.
+//! Datagrams between routing instances, encoded with `postcard`. All carry soft state that is sent
+//! again if a datagram is lost.
 
 use crate::{
   backend::Holding,
@@ -14,8 +14,8 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// Since the platform's store last answered anybody that the sender has heard of, ms; none:
-/// never.
+/// Milliseconds since the platform's store last responded to any instance, as far as the sender
+/// knows; `None` if it never has.
 pub type StoreAge = Option<u64>;
 
 /// A datagram between instances.
@@ -23,59 +23,61 @@
 pub enum Message {
   Report(Report),
   Update(Update),
-  /// A group's holder asks for a promise.
-  Question(u32, Request),
-  /// What the holder of a group asked for, if the sender gives it, and what its asking shows
-  /// that it lacks: when the store answered others.
+  /// Request of a group's holder for a promise.
+  #[serde(rename = "Question")]
+  PromiseRequest(u32, Request),
+  /// Answer to a group's holder: the promise, if the sender gives one, and when the store last
+  /// responded to others, since the request shows that the store does not respond to the holder.
   Promise(u32, Option<Promise>, StoreAge),
   /// Changes that a holder read from the store.
   Changes(Kind, feed::Batch),
-  /// Runs that ended with their servers, for those who find out why.
+  /// Requests that were running when their servers crashed, for the instances that find the cause.
   Crashes(Vec<Crash>),
-  /// Requests that go to no server from now on.
+  /// Requests that are no longer sent to any server.
   Quarantine(Vec<Quarantined>),
-  /// Requests that may be to blame for crashes.
+  /// Requests suspected of causing crashes.
   Suspects(Vec<Suspected>),
-  /// What an instance has used of quotas.
+  /// Quota usage of an instance.
   Uses(Uses),
-  /// The holder's answer.
+  /// The holder's answer to [`Message::Uses`].
   Grants(Grants),
-  /// What backend servers say of themselves.
+  /// Statements of backend servers about themselves.
   Statements(Vec<Statement>),
 }
 
-/// What an instance has used of quotas; also without any use it asks how far the holder has
+/// Quota usage of an instance. It is sent even without any usage, to learn how far the holder has
 /// followed the deployment.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Uses {
-  /// Names the instance's process.
+  /// Identifies the process of the instance.
   pub process: u64,
-  /// When it was sent, ms on the sender's clock.
+  /// Time of sending in milliseconds on the sender's clock.
   pub sent: u64,
   pub uses: Vec<Use>,
-  /// What servers said to it.
+  /// Statements that servers made to the instance.
   pub statements: Vec<Statement>,
 }
 
-/// The holder's answer to an instance's uses.
+/// The holder's answer to an instance's quota usage.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Grants {
-  /// When what it answers was sent, ms on the clock of whom it answers.
+  /// Time at which the answered message was sent, in milliseconds on the clock of its sender.
   pub sent: u64,
   pub deployments: feed::Progress,
-  /// Since when the holder surely knows all changes of the deployment, ms.
+  /// Milliseconds since the time up to which the holder certainly knows all changes of the
+  /// deployment.
   pub sure_ms: u64,
   pub grants: Vec<Grant>,
 }
 
-/// What the store's changes are about.
+/// Subject of changes in the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Kind {
   Deployments,
   Servers,
 }
 
-/// What the holder of a group's lease publishes.
+/// Update published by the holder of a group's lease.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Update {
   pub group: u32,
@@ -85,17 +87,17 @@
   pub servers: feed::Progress,
   pub store: StoreAge,
   pub instances: u32,
-  /// Where instances hear each other, so that the next holder knows them; empty
-  /// when not sent.
+  /// Addresses of the instances, so that the next holder knows them; empty if not included.
   pub members: Vec<SocketAddr>,
-  /// Changes of holdings between these counts; from 0: all holdings.
+  /// The update contains the changes of holdings between these counts, or all holdings if `since`
+  /// is 0.
   pub since: u64,
   pub latest: u64,
   pub holdings: Vec<Holding>,
-  /// Requests of all instances at servers that have some; empty when not sent.
+  /// Number of requests from all instances for each server that has any; empty if not included.
   pub loads: Vec<(u32, u16)>,
-  /// Requests that go to no server, for instances that do not know of them yet.
+  /// Requests that are not sent to any server, for instances that do not know them yet.
   pub quarantined: Vec<Quarantined>,
-  /// What was used of quotas within their last windows; none when not sent.
+  /// Quota usage within the last windows; `None` if not included.
   pub sums: Option<Sums>,
 }
--- a/src/planner.rs
+++ b/src/planner.rs
@@ -1,8 +1,8 @@
-//! The planner's thread: the lease, the plan, and datagrams between instances.
+//! The planner thread: handles leases, plans and datagrams between instances.
 //!
-//! Instances report to the lease's holder what they wait for and what they have
-//! running; it publishes what servers hold. Both go as datagrams that may be
-//! lost: each is sent again while it counts.
+//! Instances report waiting and running requests to the lease holder, which publishes the models
+//! that servers hold. Reports and updates are datagrams that may be lost, so each is repeated while
+//! it is relevant.
 
 use crate::{
   backend::{self, Backend, Spec},
@@ -11,7 +11,7 @@
   crash::{Crash, Quarantined, Registry, Repeated, stored},
   dispatch::Event,
   edge::Edge,
-  exchange::{BITS, BITS_MS, PUBLISH_PART},
+  exchange::{BITS_PER_BYTE, MBPS_BITS_PER_MS, PUBLISH_LINK_DIVISOR},
   hub::Hub,
   lease::promise,
   lease::{self, Lease},
@@ -42,72 +42,72 @@
   time::Duration,
 };
 
-/// Threads for orders at the most; one order a server is under way. One to a server that is
-/// cut off takes a thread for up to a second, and the servers of a fleet may be cut off
-/// together: orders to the others must not wait for them.
-const ORDER_THREADS: usize = 24;
-/// Threads for questions at the most: apart, for servers that are cut off are asked again and
-/// again.
-const ASK_THREADS: usize = 24;
-/// Waiting requests are reported again this often, ms.
-const DEMAND_MS: u64 = 150;
-/// Running requests are reported this often, ms.
-const RUNNING_MS: u64 = 300;
-/// Changes that are lacking are asked for after this time, ms: what is asked for comes within
-/// some.
-const BEHIND_MS: u64 = 20;
-/// Doublings of that time while more is lacking each time: a change that is lost to many would
-/// have 295 of them report 15,000 times a second, and lose more.
-const BEHIND_DOUBLINGS: u32 = 4;
-/// An instance that has neither says so this often, ms.
-const IDLE_MS: u64 = 1_000;
-/// Bytes of a datagram taken.
-const DATAGRAM: usize = 60 << 10;
-/// Longest sleep of the planner's thread, ms.
-const SLEEP_MS: u64 = 1_000;
-/// The lease is given the machines that report this often, ms: gathering 295 with each
-/// datagram took more time than taking it up.
-const HEAR_MS: u64 = 50;
-/// Most by which takers of a lease are spread, ms.
-const JITTER_MS: u64 = 250;
-/// Each lease that an instance holds keeps it back from taking another one, ms.
-const RELUCTANCE_MS: u64 = 400;
-/// An instance smaller than this leaves the lease to others for a while: orders of a
-/// holder with 0.12 cores and 10 Mbit/s took 0.5 s where 90 servers and 69 instances
-/// were to be updated (7 ms on a larger one).
-const HOLDER_CORES: f64 = 0.2;
-const HOLDER_LINK_MBPS: f64 = 50.0;
-/// For this long, ms: longer than takers are spread.
-const SMALL_MS: u64 = 600;
-/// One with a slower link leaves it for a shorter time to those that can publish faster: at 295
-/// instances ten changes take 170 ms of a fifth of 50 Mbit/s.
-const MIDDLE_LINK_MBPS: f64 = 100.0;
-const MIDDLE_MS: u64 = 300;
-/// Policies are read this often, ms: operators change them some times a day.
-const POLICIES_MS: u64 = 10_000;
-/// And again this long after a read that failed, ms.
-const POLICIES_AGAIN_MS: u64 = 300;
-/// A holder that never read policies orders nothing for this long, ms: it would load more
-/// replicas than they allow. Then it serves without: the store may not give them at all.
-const POLICIES_WAIT_MS: u64 = 3_000;
-/// A wait that ends so much later than it should shows that this process stood still, ms: at a
-/// tenth of a processor its thread waits for some ten at the most.
-const STALLED_MS: u64 = 500;
-/// A step is followed by a rest of this many times its length: the holder serves
-/// requests too.
-const PACE: u32 = 6;
+/// Maximum number of threads that send orders, with one order per server at a time. An order to an
+/// unreachable server blocks a thread for up to a second, and many servers may become unreachable
+/// at once; orders to the other servers must not wait for them.
+const MAX_ORDER_THREADS: usize = 24;
+/// Maximum number of threads that query servers. They are separate from the order threads because
+/// unreachable servers are queried repeatedly.
+const MAX_QUERY_THREADS: usize = 24;
+/// Interval between reports while requests wait.
+const DEMAND_REPORT_INTERVAL_MS: u64 = 150;
+/// Interval between reports while requests run and none wait.
+const RUNNING_REPORT_INTERVAL_MS: u64 = 300;
+/// Delay before missing changes are requested; they usually arrive within a few milliseconds.
+const RESYNC_DELAY_MS: u64 = 20;
+/// Limit on how often the resync delay doubles while changes are still missing. Without doubling, a
+/// change lost by 295 instances makes them send 15,000 reports per second, which causes more loss.
+const MAX_RESYNC_DOUBLINGS: u32 = 4;
+/// Interval between reports while no requests wait or run.
+const IDLE_REPORT_INTERVAL_MS: u64 = 1_000;
+/// Size of the receive buffer.
+const MAX_DATAGRAM_BYTES: usize = 60 << 10;
+/// Maximum time for which the planner thread sleeps.
+const MAX_SLEEP_MS: u64 = 1_000;
+/// Interval at which the lease gets the list of reporting machines. Collecting 295 machines for
+/// every datagram took longer than processing the datagram.
+const MACHINES_INTERVAL_MS: u64 = 50;
+/// Upper bound of the random delay before a lease is acquired.
+const MAX_JITTER_MS: u64 = 250;
+/// Additional delay before an instance acquires a lease, for each lease that it already holds.
+const DELAY_PER_LEASE_MS: u64 = 400;
+/// An instance with fewer cores or a slower link delays acquiring a lease. With 90 servers and 69
+/// instances to update, orders from a holder with 0.12 cores and 10 Mbit/s took 0.5 s, compared to
+/// 7 ms from a larger one.
+const SMALL_CORES: f64 = 0.2;
+const SMALL_LINK_MBPS: f64 = 50.0;
+/// Delay of a small instance; longer than the random delay before a lease is acquired.
+const SMALL_DELAY_MS: u64 = 600;
+/// An instance with a link slower than this waits for a shorter time, so that one that can publish
+/// faster acquires the lease. With 295 instances, ten changes take 170 ms at a fifth of 50 Mbit/s.
+const MEDIUM_LINK_MBPS: f64 = 100.0;
+const MEDIUM_DELAY_MS: u64 = 300;
+/// Interval between reads of the policies; operators change them a few times a day.
+const POLICIES_READ_INTERVAL_MS: u64 = 10_000;
+/// Delay after a failed read of the policies.
+const POLICIES_RETRY_DELAY_MS: u64 = 300;
+/// Maximum time for which a holder that has never read the policies sends no orders: it might load
+/// more replicas than the policies allow. After that it continues without policies, because the
+/// store may not return them at all.
+const MAX_POLICIES_WAIT_MS: u64 = 3_000;
+/// A wait that ends this much too late shows that the process was stalled. With a tenth of a
+/// processor, the thread is delayed by about ten milliseconds at most.
+const STALL_THRESHOLD_MS: u64 = 500;
+/// The pause after a plan step, as a multiple of the duration of the step. It leaves the holder
+/// time to serve requests.
+const STEP_PAUSE_FACTOR: u32 = 6;
 
-/// What other threads bring back.
-enum Done {
+/// Result of a call that ran on another thread.
+enum Completion {
   Lease(usize, lease::Call, store::Result<store::Object>),
   Ordered(usize, Command, Reply<Taken>),
-  Asked(usize, String, Reply<Result<Inventory, Unheard>>),
+  Queried(usize, String, Reply<Result<Inventory, Unheard>>),
   Policies(store::Result<Vec<store::Object>>),
   Quarantine(stored::Call, store::Result<store::Object>),
 }
 
-/// A group of servers: its lease, and the plan that counts while this machine
-/// holds it.
+/// A group of servers with its lease, and the plan that is in effect while this machine holds the
+/// lease. Times are in milliseconds.
 pub(crate) struct Group {
   pub(crate) number: u32,
   /// Name of the lease object.
@@ -115,92 +115,93 @@
   pub(crate) lease: Lease,
   pub(crate) plan: Plan,
   pub(crate) holds_lease: bool,
-  /// No step before this time: deciding takes its part of the processor only, ms.
-  pub(crate) rest_until: u64,
-  /// Counts of the state that the plan has seen.
-  pub(crate) seen: (u64, u64),
-  /// Up to which change the holdings are known.
-  pub(crate) known: Position,
-  /// When the lease was last given the machines that report, ms.
-  pub(crate) heard: u64,
-  /// When the list of instances was last published, ms.
-  pub(crate) members_sent: u64,
+  /// The plan takes no step before this time, which limits its use of the processor.
+  pub(crate) paused_until: u64,
+  /// Change counts of the state that the plan was last updated from.
+  pub(crate) planned_counts: (u64, u64),
+  /// Position in the sequence of holding changes up to which changes are known.
+  pub(crate) position: Position,
+  /// Time at which the lease last got the list of reporting machines.
+  pub(crate) machines_updated_at: u64,
+  /// Time at which the list of instances was last published.
+  pub(crate) members_published_at: u64,
 }
 
 impl Group {
-  /// Whether this instance is the last holder as far as it knows. While the store is
-  /// down its time may be over; what it ordered before goes on, and is published.
+  /// Whether this instance is the last known holder. During an outage of the store its lease may
+  /// have expired, but earlier orders continue and their results are still published.
   pub(crate) fn leads(&self, now: u64) -> bool {
     self.lease.heartbeat(now).is_some()
   }
 }
 
-/// Everything the planner's thread works with.
+/// State of the planner thread. Times are in milliseconds.
 pub(crate) struct Planner {
   pub(crate) hub: Arc<Hub>,
   edge: Arc<Edge>,
   pub(crate) socket: UdpSocket,
   pub(crate) own_address: SocketAddr,
   pub(crate) instance: String,
-  /// This machine's short name.
+  /// Hash of this machine's name.
   pub(crate) machine: u32,
   pub(crate) groups: Vec<Group>,
   calls: Pool,
   orders: Pool,
-  asks: Pool,
-  done: Sender<Done>,
-  finished: Receiver<Done>,
-  bell: Arc<Waker>,
-  pub(crate) reported: u64,
-  pub(crate) last: Option<Report>,
-  /// When policies are read next, ms.
-  policies_at: u64,
-  /// Until when orders wait for the first policies, ms.
-  policies_until: u64,
-  /// How long this instance leaves a free lease to others, ms.
-  reluctance: u64,
-  /// What waits to be sent to many instances.
+  queries: Pool,
+  completion_sender: Sender<Completion>,
+  completions: Receiver<Completion>,
+  waker: Arc<Waker>,
+  pub(crate) last_report_at: u64,
+  pub(crate) last_report: Option<Report>,
+  /// Time of the next read of the policies.
+  next_policies_read_at: u64,
+  /// Time until which orders wait for the first read of the policies.
+  policies_wait_until: u64,
+  /// How long this instance leaves a free lease to others, in milliseconds.
+  acquire_delay_ms: u64,
+  /// Datagrams waiting to be sent to many instances.
   pub(crate) outbox: Outbox,
-  /// A holder lacks this instance's report, or it lacks changes.
-  pub(crate) behind: bool,
-  /// This process stood still: what its socket holds now may be old.
+  /// A holder needs this instance's report, or this instance misses changes.
+  pub(crate) needs_resync: bool,
+  /// The process was stalled, so datagrams in its socket may be old.
   pub(crate) stalled: bool,
-  /// Reports in a row that asked for changes.
-  pub(crate) lacked: u32,
-  /// Instances that holders published.
+  /// Number of consecutive reports that requested a resync.
+  pub(crate) resync_attempts: u32,
+  /// Instances published by the holders.
   pub(crate) members: Vec<SocketAddr>,
-  /// What is known of requests that crash servers.
+  /// Requests known or suspected to crash servers.
   pub(crate) registry: Registry,
   pub(crate) stored_quarantine: stored::Stored,
-  /// Crashes to report, and what is kept from servers to publish.
+  /// Crashes to report, and quarantined requests to publish.
   pub(crate) reported_crashes: Repeated<Crash>,
   pub(crate) published_quarantine: Repeated<Quarantined>,
-  /// What servers said: to report, and to publish.
+  /// Statements of servers to report, and to publish.
   pub(crate) reported_statements: Repeated<Life>,
   pub(crate) published_statements: Repeated<Life>,
-  /// What all instances use of quotas, while this one holds the lease.
+  /// Quota usage of all instances while this one holds the lease.
   pub(crate) accounts: Accounts,
   pub(crate) quota_bound: Bound,
-  /// Names this process among those that report uses.
+  /// Identifies this process in its usage reports.
   pub(crate) process: u64,
-  /// When uses are reported next, and standings written down, ms.
+  /// Times of the next usage report and of the next write of the standings.
   pub(crate) next_uses_report_at: u64,
   pub(crate) next_standings_write_at: u64,
-  /// What customers used within the last window as of then, ms, for the next holder; and when
-  /// this one publishes it next.
+  /// Usage of the customers within the last window with the time it refers to, kept for the next
+  /// holder, and the time at which this instance publishes it next.
   pub(crate) known_sums: Option<(u64, Sums)>,
   pub(crate) next_sums_publish_at: u64,
-  /// Where datagrams are taken.
+  /// Receive buffer for datagrams.
   buffer: Vec<u8>,
 }
 
-/// Binds the instance's port and starts the planner's thread.
+/// Binds the instance's port and starts the planner thread. Returns the bound address, or an error
+/// if the socket or a thread cannot be created.
 pub fn spawn(hub: &Arc<Hub>, edge: &Arc<Edge>, settings: &Settings) -> io::Result<SocketAddr> {
   let socket = UdpSocket::bind(&settings.peers)?;
   socket.set_nonblocking(true)?;
   let address = socket.local_addr()?;
   let routing = settings.routing.clone().unwrap_or_default();
-  let (done, finished) = channel();
+  let (completion_sender, completions) = channel();
   let planner = Planner {
     hub: hub.clone(),
     edge: edge.clone(),
@@ -209,23 +210,25 @@
     instance: settings.instance.clone(),
     machine: promise::short_hash(&routing.machine),
     groups: (0..routing.groups)
-      .map(|number| group(number, &routing, address))
+      .map(|number| new_group(number, &routing, address))
       .collect(),
     calls: Pool::spawn("lease", 2)?,
-    orders: Pool::spawn("order", ORDER_THREADS)?,
-    asks: Pool::spawn("ask", ASK_THREADS)?,
-    done,
-    finished,
-    bell: Arc::new(Waker::new()?),
-    reported: 0,
-    last: None,
-    policies_at: 0,
-    policies_until: u64::MAX,
-    reluctance: reluctance(&routing),
-    outbox: Outbox::new((routing.link_mbps * BITS_MS / BITS / PUBLISH_PART) as u64),
-    behind: false,
+    orders: Pool::spawn("order", MAX_ORDER_THREADS)?,
+    queries: Pool::spawn("ask", MAX_QUERY_THREADS)?,
+    completion_sender,
+    completions,
+    waker: Arc::new(Waker::new()?),
+    last_report_at: 0,
+    last_report: None,
+    next_policies_read_at: 0,
+    policies_wait_until: u64::MAX,
+    acquire_delay_ms: acquire_delay_ms(&routing),
+    outbox: Outbox::new(
+      (routing.link_mbps * MBPS_BITS_PER_MS / BITS_PER_BYTE / PUBLISH_LINK_DIVISOR) as u64,
+    ),
+    needs_resync: false,
     stalled: false,
-    lacked: 0,
+    resync_attempts: 0,
     members: Vec::new(),
     registry: Registry::default(),
     stored_quarantine: stored::Stored::default(),
@@ -240,26 +243,26 @@
     next_standings_write_at: 0,
     known_sums: None,
     next_sums_publish_at: 0,
-    buffer: vec![0; DATAGRAM],
+    buffer: vec![0; MAX_DATAGRAM_BYTES],
   };
-  hub.gates.deployments.ring(planner.bell.clone());
-  hub.gates.servers.ring(planner.bell.clone());
+  hub.gates.deployments.ring(planner.waker.clone());
+  hub.gates.servers.ring(planner.waker.clone());
   let builder = thread::Builder::new().name("planner".into());
   builder.spawn(move || planner.run())?;
   Ok(address)
 }
 
-fn reluctance(routing: &Routing) -> u64 {
-  let small = routing.cores < HOLDER_CORES || routing.link_mbps < HOLDER_LINK_MBPS;
+fn acquire_delay_ms(routing: &Routing) -> u64 {
+  let small = routing.cores < SMALL_CORES || routing.link_mbps < SMALL_LINK_MBPS;
   match () {
-    () if small => SMALL_MS,
-    () if routing.link_mbps < MIDDLE_LINK_MBPS => MIDDLE_MS,
+    () if small => SMALL_DELAY_MS,
+    () if routing.link_mbps < MEDIUM_LINK_MBPS => MEDIUM_DELAY_MS,
     () => 0,
   }
 }
 
-fn group(number: u32, routing: &Routing, address: SocketAddr) -> Group {
-  let jitter = rand::random::<u64>() % JITTER_MS;
+fn new_group(number: u32, routing: &Routing, address: SocketAddr) -> Group {
+  let jitter = rand::random::<u64>() % MAX_JITTER_MS;
   let groups = routing.groups.max(1);
   let overage = routing.load_overage.min(1.0) / f64::from(groups);
   Group {
@@ -268,11 +271,11 @@
     lease: Lease::new(&routing.machine, address, routing.lease_ms, jitter, 0),
     plan: Plan::new(&routing.machine, number, routing.load_window_ms, overage),
     holds_lease: false,
-    rest_until: 0,
-    seen: (0, 0),
-    known: Position::default(),
-    heard: 0,
-    members_sent: 0,
+    paused_until: 0,
+    planned_counts: (0, 0),
+    position: Position::default(),
+    machines_updated_at: 0,
+    members_published_at: 0,
   }
 }
 
@@ -287,63 +290,63 @@
         [
           Some((&self.socket, Interest::Read)),
           Some((&self.hub.report_waker, Interest::Read)),
-          Some((&*self.bell, Interest::Read)),
+          Some((&*self.waker, Interest::Read)),
         ],
         until,
       );
-      let Ok([_, wanted, finished]) = waited else {
+      let Ok([_, report_requested, completed]) = waited else {
         warn!(self.hub.log, "planner cannot wait"; "until_ms" => due);
         return;
       };
-      self.stalled = self.hub.now() > due + STALLED_MS;
-      if wanted {
+      self.stalled = self.hub.now() > due + STALL_THRESHOLD_MS;
+      if report_requested {
         self.hub.report_waker.clear();
       }
-      if finished {
-        self.bell.clear();
+      if completed {
+        self.waker.clear();
       }
-      if let Some(away) = suspension.take() {
-        self.woke(away);
+      if let Some(suspended_for) = suspension.take() {
+        self.record_suspension(suspended_for);
       }
-      self.receive();
+      self.receive_datagrams();
       self.process_crashes();
-      self.flush();
-      self.finish();
-      self.lease();
+      self.flush_outbox();
+      self.process_completions();
+      self.poll_leases();
       self.read_policies();
       self.sync_quarantine();
       self.statements();
-      self.report_uses(wanted);
-      self.report(wanted);
+      self.report_uses(report_requested);
+      self.report(report_requested);
       self.publish_changes();
       for index in 0..self.groups.len() {
-        self.plan(index);
+        self.step_plan(index);
       }
     }
   }
 
-  /// The machine was suspended: what was published meanwhile is lost.
-  fn woke(&mut self, away: Duration) {
+  /// Requests a resync after the machine was suspended: it missed the updates published meanwhile.
+  fn record_suspension(&mut self, suspended_for: Duration) {
     let now = self.hub.now();
     let held = self.groups.iter().filter(|group| group.holds_lease);
-    info!(self.hub.log, "machine was suspended"; "away_ms" => away.as_millis() as u64,
+    info!(self.hub.log, "machine was suspended"; "away_ms" => suspended_for.as_millis() as u64,
       "leases_held" => held.count(),
       "leases_lapsed" => self.groups.iter()
         .filter(|group| group.holds_lease && group.lease.term(now).is_none()).count());
-    self.behind = true;
+    self.needs_resync = true;
     self.stalled = true;
   }
 
   fn due(&self, now: u64) -> u64 {
-    let mut due = (now + SLEEP_MS).min(self.reported + self.pause());
+    let mut due = (now + MAX_SLEEP_MS).min(self.last_report_at + self.report_interval_ms());
     due = due.min(self.next_uses_report_at.max(now + 1));
     for group in &self.groups {
       due = due.min(group.lease.due(now));
       if group.leads(now) {
-        due = due.min(group.plan.next_step_at(now).max(group.rest_until));
+        due = due.min(group.plan.next_step_at(now).max(group.paused_until));
       }
       if group.holds_lease {
-        due = due.min(self.policies_at);
+        due = due.min(self.next_policies_read_at);
       }
     }
     let repeated = [
@@ -362,17 +365,17 @@
     due.max(now)
   }
 
-  /// Time from one report to the next.
-  pub(crate) fn pause(&self) -> u64 {
-    match &self.last {
-      _ if self.behind => BEHIND_MS << self.lacked.min(BEHIND_DOUBLINGS),
-      Some(last) if !last.demand.is_empty() => DEMAND_MS,
-      Some(last) if !last.running.is_empty() => RUNNING_MS,
-      _ => IDLE_MS,
+  /// Time between two reports.
+  pub(crate) fn report_interval_ms(&self) -> u64 {
+    match &self.last_report {
+      _ if self.needs_resync => RESYNC_DELAY_MS << self.resync_attempts.min(MAX_RESYNC_DOUBLINGS),
+      Some(last) if !last.demand.is_empty() => DEMAND_REPORT_INTERVAL_MS,
+      Some(last) if !last.running.is_empty() => RUNNING_REPORT_INTERVAL_MS,
+      _ => IDLE_REPORT_INTERVAL_MS,
     }
   }
 
-  fn receive(&mut self) {
+  fn receive_datagrams(&mut self) {
     let mut buffer = std::mem::take(&mut self.buffer);
     while let Ok((length, from)) = self.socket.recv_from(&mut buffer) {
       let now = self.hub.now();
@@ -382,8 +385,10 @@
             group.plan.receive_report(now, from, report.clone());
           }
         }
-        Ok(Message::Update(update)) => self.hear(now, update, from),
-        Ok(Message::Question(index, question)) => self.promise(now, index, question, from),
+        Ok(Message::Update(update)) => self.receive_update(now, update, from),
+        Ok(Message::PromiseRequest(index, request)) => {
+          self.answer_promise_request(now, index, request, from)
+        }
         Ok(Message::Changes(kind, batch)) => self.gate(kind).offer(batch),
         Ok(Message::Crashes(crashes)) => self.receive_crashes(now, &crashes),
         Ok(Message::Quarantine(entries)) => self.receive_quarantine(now, &entries, from),
@@ -399,19 +404,19 @@
           }
         }
         Err(error) => {
-          warn!(self.hub.log, "datagram not understood"; "from" => %from, "error" => %error);
+          warn!(self.hub.log, "failed to decode a datagram"; "from" => %from, "error" => %error);
         }
       }
     }
     self.buffer = buffer;
   }
 
-  fn finish(&mut self) {
-    while let Ok(done) = self.finished.try_recv() {
+  fn process_completions(&mut self) {
+    while let Ok(completion) = self.completions.try_recv() {
       let now = self.hub.now();
-      match done {
-        Done::Lease(index, call, result) => self.leased(now, index, &call, result),
-        Done::Ordered(index, command, reply) => {
+      match completion {
+        Completion::Lease(index, call, result) => self.finish_lease_call(now, index, &call, result),
+        Completion::Ordered(index, command, reply) => {
           self.hub.hear(command.life(), &command.id, &reply.said);
           let taken = reply.outcome;
           info!(self.hub.log, "ordered"; "server" => &command.id,
@@ -423,15 +428,15 @@
             .plan
             .record_order_result(now, &command, taken);
         }
-        Done::Policies(objects) => self.take_policies(now, objects),
-        Done::Quarantine(call, result) => self.finish_quarantine_call(now, &call, result),
-        Done::Asked(index, id, reply) => {
+        Completion::Policies(objects) => self.finish_policies_read(now, objects),
+        Completion::Quarantine(call, result) => self.finish_quarantine_call(now, &call, result),
+        Completion::Queried(index, id, reply) => {
           let inventory = reply.outcome;
           let life = self.life_of(&id, &inventory);
           self.hub.hear(life, &id, &reply.said);
-          if let Err(unheard) = &inventory {
-            info!(self.hub.log, "server did not say what it holds"; "server" => &id,
-              "why" => format!("{unheard:?}"));
+          if let Err(error) = &inventory {
+            info!(self.hub.log, "server returned no inventory"; "server" => &id,
+              "why" => format!("{error:?}"));
           }
           self.groups[index]
             .plan
@@ -441,7 +446,7 @@
     }
   }
 
-  /// The life of a server that was asked, as it says itself or as it is known.
+  /// The life that a queried server stated in its inventory; without one, the last known life.
   fn life_of(&self, id: &str, inventory: &Result<Inventory, Unheard>) -> Life {
     if let Ok(inventory) = inventory {
       return Life::of(id, inventory.born);
@@ -451,7 +456,7 @@
     known.map_or(Life::of(id, 0), |key| state.backends[*key].spec.life())
   }
 
-  fn leased(
+  fn finish_lease_call(
     &mut self,
     now: u64,
     index: usize,
@@ -463,12 +468,12 @@
     }
     let group = &mut self.groups[index];
     if let (Err(error), lease::Call::Write { record, revision }) = (&result, call) {
-      info!(self.hub.log, "lease not written"; "lease" => &group.name, "error" => %error,
+      info!(self.hub.log, "failed to write the lease"; "lease" => &group.name, "error" => %error,
         "term" => record.term, "revision" => %revision);
     }
     if result.is_ok() {
       self.hub.gates.reachability.record_response(Moment::now());
-      // Others learn of the renewal at once.
+      // Inform other instances of the renewal without delay.
       group.plan.request_publish();
     }
     if group.lease.record_call_result(now, call, result) {
@@ -476,14 +481,14 @@
       self.hub.measures.lease();
       info!(self.hub.log, "lease taken"; "lease" => &group.name, "term" => term);
       group.plan.start_term(now, term);
-      // Those of an earlier holding may be old.
-      self.policies_at = now;
-      if self.policies_until == u64::MAX {
-        self.policies_until = now + POLICIES_WAIT_MS;
+      // Policies read under an earlier term may be outdated.
+      self.next_policies_read_at = now;
+      if self.policies_wait_until == u64::MAX {
+        self.policies_wait_until = now + MAX_POLICIES_WAIT_MS;
       }
-      group.seen = (0, 0);
-      group.members_sent = 0;
-      self.behind = true;
+      group.planned_counts = (0, 0);
+      group.members_published_at = 0;
+      self.needs_resync = true;
       if index == 0 {
         let first = matches!(call, lease::Call::Write { revision, .. } if revision.number == 0);
         self.open_accounts(now, term, first);
@@ -491,72 +496,77 @@
     }
   }
 
-  fn lease(&mut self) {
+  fn poll_leases(&mut self) {
     let now = self.hub.now();
     let stopping = self.hub.stopping.load(Ordering::Relaxed);
-    let held = |group: &Group| !stopping && group.lease.term(now).is_some();
-    let count = self.groups.iter().filter(|group| held(group)).count() as u64;
+    let may_order = |group: &Group| !stopping && group.lease.term(now).is_some();
+    let held_leases = self.groups.iter().filter(|group| may_order(group)).count() as u64;
     for index in 0..self.groups.len() {
       let group = &mut self.groups[index];
-      let holding = held(group);
-      if holding != group.holds_lease {
-        group.holds_lease = holding;
-        info!(self.hub.log, "orders"; "lease" => &group.name, "given_here" => holding);
+      let holds_lease = may_order(group);
+      if holds_lease != group.holds_lease {
+        group.holds_lease = holds_lease;
+        info!(self.hub.log, "orders"; "lease" => &group.name, "given_here" => holds_lease);
       }
       group
         .lease
-        .set_acquire_delay(self.reluctance + count * RELUCTANCE_MS);
-      if group.leads(now) && now >= group.heard + HEAR_MS {
-        group.heard = now;
+        .set_acquire_delay(self.acquire_delay_ms + held_leases * DELAY_PER_LEASE_MS);
+      if group.leads(now) && now >= group.machines_updated_at + MACHINES_INTERVAL_MS {
+        group.machines_updated_at = now;
         group.lease.set_machines(group.plan.machines(now));
       }
       if let Some(call) = group.lease.next_call(now, stopping) {
-        self.call(index, call);
+        self.start_lease_call(index, call);
       }
-      self.ask_promises(now, index);
+      self.request_promises(now, index);
     }
-    let leads = self.groups.iter().any(|group| group.holds_lease);
-    self.hub.gates.deployments.lead(leads);
-    self.hub.gates.servers.lead(leads);
+    let holds_any = self.groups.iter().any(|group| group.holds_lease);
+    self.hub.gates.deployments.lead(holds_any);
+    self.hub.gates.servers.lead(holds_any);
   }
 
-  /// Reads the operators' policies now and then, while this machine gives orders.
+  /// Reads the operators' policies at intervals while this instance holds a lease.
   fn read_policies(&mut self) {
     let now = self.hub.now();
-    let holds = self.groups.iter().any(|group| group.holds_lease);
-    if !holds || now < self.policies_at {
+    let holds_any = self.groups.iter().any(|group| group.holds_lease);
+    if !holds_any || now < self.next_policies_read_at {
       return;
     }
-    self.policies_at = now + POLICIES_MS;
-    let (edge, done, bell) = (self.edge.clone(), self.done.clone(), self.bell.clone());
+    self.next_policies_read_at = now + POLICIES_READ_INTERVAL_MS;
+    let (edge, completion_sender, waker) = (
+      self.edge.clone(),
+      self.completion_sender.clone(),
+      self.waker.clone(),
+    );
     self.calls.run(move || {
       let policies = edge.store.all(edge.kinds.policies);
-      let _ = done.send(Done::Policies(policies.map(|(objects, _)| objects)));
-      bell.wake();
+      let _ = completion_sender.send(Completion::Policies(policies.map(|(objects, _)| objects)));
+      waker.wake();
     });
   }
 
-  fn take_policies(&mut self, now: u64, objects: store::Result<Vec<store::Object>>) {
+  fn finish_policies_read(&mut self, now: u64, objects: store::Result<Vec<store::Object>>) {
     let objects = match objects {
       Ok(objects) => objects,
       Err(store::Error::Absent { .. }) => Vec::new(),
       Err(error) => {
-        self.policies_at = now + POLICIES_AGAIN_MS;
-        info!(self.hub.log, "policies not read, the last ones stay in force"; "error" => %error);
+        self.next_policies_read_at = now + POLICIES_RETRY_DELAY_MS;
+        info!(self.hub.log, "failed to read policies; the previous ones stay in effect";
+          "error" => %error);
         return;
       }
     };
-    self.policies_until = 0;
+    self.policies_wait_until = 0;
     let mut policies = BTreeMap::new();
     for object in objects {
       let policy = serde_json::from_value::<Policy>(object.spec).map_err(|error| error.to_string());
-      let checked = policy.and_then(|policy| policy.fault().map_or(Ok(policy), Err));
-      match checked {
+      let validated = policy.and_then(|policy| policy.fault().map_or(Ok(policy), Err));
+      match validated {
         Ok(policy) => {
           policies.insert(object.name, policy);
         }
-        Err(fault) => warn!(self.hub.log, "policy is faulty and left out";
-          "policy" => &object.name, "revision" => %object.revision, "fault" => fault),
+        Err(error) => warn!(self.hub.log, "ignoring an invalid policy";
+          "policy" => &object.name, "revision" => %object.revision, "fault" => error),
       }
     }
     for group in &mut self.groups {
@@ -564,9 +574,13 @@
     }
   }
 
-  /// Reads or writes what is kept from servers, where that is due.
+  /// Starts a read or write of the stored quarantine.
   pub(crate) fn start_quarantine_call(&self, call: stored::Call) {
-    let (edge, done, bell) = (self.edge.clone(), self.done.clone(), self.bell.clone());
+    let (edge, completion_sender, waker) = (
+      self.edge.clone(),
+      self.completion_sender.clone(),
+      self.waker.clone(),
+    );
     self.calls.run(move || {
       let kind = edge.kinds.quarantine;
       let result = match &call {
@@ -574,24 +588,28 @@
         stored::Call::Write { record, revision } => stored::encode(record)
           .and_then(|spec| (edge.store.write)(kind, stored::NAME, *revision, &spec)),
       };
-      // The planner's thread lives as long as the process.
-      let _ = done.send(Done::Quarantine(call, result));
-      bell.wake();
+      // The planner thread runs as long as the process, so the receiver exists.
+      let _ = completion_sender.send(Completion::Quarantine(call, result));
+      waker.wake();
     });
   }
 
-  fn call(&mut self, index: usize, call: lease::Call) {
+  fn start_lease_call(&mut self, index: usize, call: lease::Call) {
     let record = match &call {
       lease::Call::Write { record, .. } => serde_json::to_value(record).ok(),
       lease::Call::Read => None,
     };
     let now = self.hub.now();
-    let leads = index == 0 && self.groups[index].holds_lease;
+    let holds_first_group = index == 0 && self.groups[index].holds_lease;
     let record = match record {
-      Some(record) if leads => Some(self.with_sums(now, record)),
+      Some(record) if holds_first_group => Some(self.with_sums(now, record)),
       record => record,
     };
-    let (edge, done, bell) = (self.edge.clone(), self.done.clone(), self.bell.clone());
+    let (edge, completion_sender, waker) = (
+      self.edge.clone(),
+      self.completion_sender.clone(),
+      self.waker.clone(),
+    );
     let name = self.groups[index].name.clone();
     self.calls.run(move || {
       let kind = edge.kinds.leases;
@@ -599,33 +617,35 @@
         lease::Call::Read => (edge.store.read)(kind, &name),
         lease::Call::Write { revision, .. } => match &record {
           Some(spec) => (edge.store.write)(kind, &name, *revision, spec),
-          None => Err(store::Error::Malformed("lease: not encoded".into())),
+          None => Err(store::Error::Malformed(
+            "failed to encode the lease record".into(),
+          )),
         },
       };
-      // The planner's thread lives as long as the process.
-      let _ = done.send(Done::Lease(index, call, result));
-      bell.wake();
+      // The planner thread runs as long as the process, so the receiver exists.
+      let _ = completion_sender.send(Completion::Lease(index, call, result));
+      waker.wake();
     });
   }
 
-  fn plan(&mut self, index: usize) {
+  fn step_plan(&mut self, index: usize) {
     let now = self.hub.now();
     let group = &mut self.groups[index];
-    if !group.leads(now) || now < group.rest_until {
+    if !group.leads(now) || now < group.paused_until {
       return;
     }
     group
       .plan
-      .set_ordering(group.holds_lease && now >= self.policies_until);
-    self.feed_plan(index);
-    let began = Moment::now();
+      .set_ordering(group.holds_lease && now >= self.policies_wait_until);
+    self.update_plan(index);
+    let started_at = Moment::now();
     let effects = self.groups[index].plan.step(now);
-    let took = began.elapsed() * PACE;
-    self.groups[index].rest_until = now + took.as_millis() as u64;
+    let pause = started_at.elapsed() * STEP_PAUSE_FACTOR;
+    self.groups[index].paused_until = now + pause.as_millis() as u64;
     for effect in effects {
       match effect {
-        Effect::Order(command) => self.order(index, command),
-        Effect::Query { id, address } => self.ask(index, id, address),
+        Effect::Order(command) => self.send_order(index, command),
+        Effect::Query { id, address } => self.query_server(index, id, address),
         Effect::Publish(update) => self.publish(index, &update),
         Effect::Log {
           what,
@@ -638,59 +658,68 @@
     }
   }
 
-  fn feed_plan(&mut self, index: usize) {
+  fn update_plan(&mut self, index: usize) {
     let groups = self.groups.len() as u32;
     let group = &mut self.groups[index];
     let state = self.hub.state();
     let counts = (state.changes, state.updates);
-    if counts == group.seen {
+    if counts == group.planned_counts {
       return;
     }
     let Some(deployment) = state.deployment.clone() else {
       return;
     };
-    let mine = |id: &str| backend::group(id, groups) == group.number;
-    if counts.0 != group.seen.0 {
+    let in_group = |id: &str| backend::group(id, groups) == group.number;
+    if counts.0 != group.planned_counts.0 {
       let specs: Vec<Spec> = state
         .by_id
         .iter()
-        .filter(|(id, _)| mine(id))
+        .filter(|(id, _)| in_group(id))
         .map(|(_, key)| state.backends[*key].effective_spec())
         .collect();
       group.plan.update_servers(deployment, specs);
     }
     if groups > 1 {
-      let others = state.by_id.iter().filter(|(id, _)| !mine(id));
-      let others = others.map(|(id, key)| other(backend::group(id, groups), &state.backends[*key]));
+      let others = state.by_id.iter().filter(|(id, _)| !in_group(id));
+      let others =
+        others.map(|(id, key)| other_server(backend::group(id, groups), &state.backends[*key]));
       group.plan.update_other_servers(others.collect());
     }
     group.plan.update_limited(&state.limits.servers().collect());
-    group.seen = counts;
+    group.planned_counts = counts;
   }
 
-  fn order(&self, index: usize, command: Command) {
-    let (edge, done, bell) = (self.edge.clone(), self.done.clone(), self.bell.clone());
+  fn send_order(&self, index: usize, command: Command) {
+    let (edge, completion_sender, waker) = (
+      self.edge.clone(),
+      self.completion_sender.clone(),
+      self.waker.clone(),
+    );
     let (hub, until) = (self.hub.clone(), self.groups[index].lease.valid_until());
     self.orders.run(move || {
-      // A pause between decision and sending must not let an order out late.
+      // The deadline prevents a late send if the thread is delayed after the decision.
       let reply = (edge.send_order)(&command, hub.instant(until));
-      let _ = done.send(Done::Ordered(index, command, reply));
-      bell.wake();
+      let _ = completion_sender.send(Completion::Ordered(index, command, reply));
+      waker.wake();
     });
   }
 
-  fn ask(&self, index: usize, id: String, address: SocketAddr) {
-    let (edge, done, bell) = (self.edge.clone(), self.done.clone(), self.bell.clone());
-    self.asks.run(move || {
+  fn query_server(&self, index: usize, id: String, address: SocketAddr) {
+    let (edge, completion_sender, waker) = (
+      self.edge.clone(),
+      self.completion_sender.clone(),
+      self.waker.clone(),
+    );
+    self.queries.run(move || {
       let reply = (edge.query_inventory)(address, &id);
-      let _ = done.send(Done::Asked(index, id, reply));
-      bell.wake();
+      let _ = completion_sender.send(Completion::Queried(index, id, reply));
+      waker.wake();
     });
   }
 }
 
-/// A server of another group, as this instance knows it.
-fn other(group: u32, backend: &Backend) -> OtherServer {
+/// A server of another group, as known to this instance.
+fn other_server(group: u32, backend: &Backend) -> OtherServer {
   let (mut models, spec) = match &backend.holding {
     Some(holding) => (holding.models.clone(), &backend.spec),
     None => (backend.spec.models.clone(), &backend.spec),
