--- a/src/command.rs
+++ b/src/command.rs
@@ -1,9 +1,9 @@
-//! Orders to the model engines of backend servers, and what they answer.
+//! Orders to the model engines of backend servers, and their responses.
 
 use crate::{demand::Model, life::Life};
 use std::{collections::BTreeMap, net::SocketAddr};
 
-/// What an engine is ordered to do.
+/// Action that an order requests from an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Act {
   Load,
@@ -11,7 +11,7 @@
 }
 
 impl Act {
-  /// The word used in logs and as a metric label.
+  /// Name in logs and metric labels.
   pub fn as_str(self) -> &'static str {
     match self {
       Self::Load => "load",
@@ -20,50 +20,51 @@
   }
 }
 
-/// One order.
+/// An order to a backend server.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Command {
-  /// The server that is meant, and where it is.
+  /// Id of the target server.
   pub id: String,
-  /// When the server that is meant started, Unix ms; 0: it does not say.
+  /// Start time of the target server in Unix milliseconds; 0 if the server does not state it.
   pub born: u64,
   pub address: SocketAddr,
   pub act: Act,
   pub model: Model,
-  /// Orders the server must have taken before, or it does nothing.
+  /// Number of orders that the server must have accepted before; otherwise it does nothing.
   pub orders: u64,
-  /// The machine that orders, and its lease's term: rises with every holder.
+  /// The machine that sends the order, and the term of its lease, which increases with every
+  /// holder.
   pub holder: String,
   pub term: u64,
 }
 
 impl Command {
-  /// The life of the server that is meant.
+  /// The life of the target server.
   pub fn life(&self) -> Life {
     Life::of(&self.id, self.born)
   }
 }
 
-/// What became of an order.
+/// Outcome of an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Taken {
-  /// The engine is at work on it.
+  /// The engine has started to execute it.
   Accepted,
-  /// It is done, or was already.
+  /// The engine has completed it, now or before.
   Done,
-  /// Another order is under way, or was taken in between; nothing was done.
+  /// Another order is in progress or was accepted in the meantime; nothing was done.
   Conflict,
   /// The engine declined with this status; nothing was done.
   Declined(u16),
-  /// Another server has the address.
+  /// Another server uses the address.
   Replaced,
   NotSent,
-  /// No answer: it may have been taken, or may be yet.
+  /// No response; the order may have been accepted or may still be.
   Unknown,
 }
 
 impl Taken {
-  /// The word used as a metric label.
+  /// Name in metric labels.
   pub fn as_str(self) -> &'static str {
     match self {
       Self::Accepted => "accepted",
@@ -77,25 +78,25 @@
   }
 }
 
-/// Why an engine did not say what it holds.
+/// Reason why an engine returned no inventory.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Unheard {
-  /// Nothing listens at its address, or another server does.
+  /// No server, or a different server, listens at its address.
   Ended,
-  /// It may be there and hold anything.
+  /// The engine may be running and may hold any model.
   Silent,
 }
 
-/// What an engine holds, as it says when asked.
+/// Models and state that an engine returns for a query.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Inventory {
-  /// When the engine started, Unix ms; 0: it does not say.
+  /// Start time of the engine in Unix milliseconds; 0 if the engine does not state it.
   pub born: u64,
-  /// Models held, each with its adapters.
+  /// Loaded models, each with its adapters.
   pub models: BTreeMap<String, Vec<String>>,
-  /// An order is under way.
+  /// Whether an order is in progress.
   pub busy: bool,
-  /// Orders taken.
+  /// Number of orders accepted so far.
   pub orders: u64,
   pub queued: u32,
   pub running: u32,
--- a/src/demand.rs
+++ b/src/demand.rs
@@ -1,8 +1,8 @@
-//! Models that requests name, and how many requests wait for each.
+//! Models that requests specify, and the number of requests waiting for each.
 
 use crate::placement::urgency::Wait;
 
-/// A model with the adapter that a request names.
+/// A model, with an adapter if the request specifies one.
 #[derive(
   Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, serde::Serialize, serde::Deserialize,
 )]
@@ -12,7 +12,7 @@
 }
 
 impl Model {
-  /// The model named by `MODEL` or `MODEL/ADAPTER`.
+  /// Parses `MODEL` or `MODEL/ADAPTER`.
   pub fn parse(text: &str) -> Self {
     match text.split_once('/') {
       Some((name, adapter)) => Self {
@@ -35,14 +35,14 @@
   pub waiting: u32,
   /// Most urgent priority among them.
   pub priority: u8,
-  /// How long the oldest waits, ms.
+  /// Waiting time of the oldest request in milliseconds.
   pub age_ms: u64,
-  /// How much time they have left; requests that have about as much stand together.
+  /// Remaining time of the requests, grouped by similar values.
   pub waits: Vec<Wait>,
 }
 
 impl Demand {
-  /// Demand of nobody, for a load ahead of it.
+  /// Demand without waiting requests, used to preload a model.
   pub fn preload(pool: &str, model: Model) -> Self {
     Self {
       pool: pool.into(),
@@ -54,14 +54,14 @@
     }
   }
 
-  /// Adds requests with this much time left.
+  /// Adds requests with the remaining time in `wait`.
   pub(crate) fn add(&mut self, wait: Wait) {
     self.waiting += wait.requests;
-    let like = |known: &&mut Wait| {
-      known.objective_ms == wait.objective_ms && known.patience_ms == wait.patience_ms
+    let same_time_left = |existing: &&mut Wait| {
+      existing.objective_ms == wait.objective_ms && existing.patience_ms == wait.patience_ms
     };
-    match self.waits.iter_mut().find(like) {
-      Some(known) => known.requests += wait.requests,
+    match self.waits.iter_mut().find(same_time_left) {
+      Some(existing) => existing.requests += wait.requests,
       None => self.waits.push(wait),
     }
   }
--- a/src/edge.rs
+++ b/src/edge.rs
@@ -1,4 +1,5 @@
-//! What a deployment brings to a routing instance: names, decoders and calls.
+//! Interface between a routing instance and the platform it is deployed on: names, decoders and
+//! calls.
 
 use crate::{
   backend::Spec,
@@ -11,10 +12,10 @@
 };
 use std::net::SocketAddr;
 
-type Order = dyn Fn(&Command, Moment) -> Reply<Taken> + Send + Sync;
-type Report = dyn Fn(SocketAddr, &str) -> Reply<Result<Inventory, Unheard>> + Send + Sync;
+type SendOrder = dyn Fn(&Command, Moment) -> Reply<Taken> + Send + Sync;
+type QueryInventory = dyn Fn(SocketAddr, &str) -> Reply<Result<Inventory, Unheard>> + Send + Sync;
 
-/// The kinds of objects that routing reads and writes.
+/// Kinds of the store objects that a routing instance reads and writes.
 #[derive(Clone, Copy, Debug)]
 pub struct Kinds {
   pub deployments: &'static str,
@@ -25,17 +26,17 @@
   pub quarantine: &'static str,
 }
 
-/// The edges of a routing instance.
+/// Platform-specific parts of a routing instance.
 pub struct Edge {
   pub dialect: Dialect,
   pub kinds: Kinds,
   pub store: Store,
-  /// The deployment in an object; none for an object that is none.
+  /// Decodes a deployment; `None` if the object is not a deployment.
   pub parse_deployment: fn(&Object) -> Result<Option<Deployment>, String>,
-  /// The backend server in an object.
+  /// Decodes a backend server.
   pub parse_server: fn(&Object) -> Result<Spec, String>,
-  /// Sends an order to a backend server, once, before a moment or not at all.
-  pub send_order: Box<Order>,
-  /// Asks the server with this id what it holds.
-  pub query_inventory: Box<Report>,
+  /// Sends an order to a backend server at most once, and only before the given time.
+  pub send_order: Box<SendOrder>,
+  /// Queries the inventory of the server with this address and id.
+  pub query_inventory: Box<QueryInventory>,
 }
--- a/src/listing.rs
+++ b/src/listing.rs
@@ -1,5 +1,5 @@
-//! Backend servers of a routing instance: as the store lists them, and as the planner
-//! publishes them.
+//! A routing instance's list of backend servers, combined from the entries in the store and the
+//! holdings published by the planner.
 
 use crate::{
   backend::{self, Backend, Holding, Spec, Stage},
@@ -7,9 +7,9 @@
   reachability::Outage,
 };
 
-/// A holding published for a server without an entry is kept for this long, ms: its entry
-/// comes by another path, where it must be read again some seconds later at the most.
-const EARLY_MS: u64 = 10_000;
+/// Time for which a holding is kept if its server has no entry yet. The entry arrives on another
+/// path and is read again within a few seconds at most.
+const EARLY_HOLDING_TTL_MS: u64 = 10_000;
 
 impl State {
   pub(crate) fn update_servers(&mut self, changes: Vec<Change>) {
@@ -17,18 +17,18 @@
     for change in changes {
       match change {
         Change::All(specs) => {
-          let gone: Vec<String> = self
+          let removed: Vec<String> = self
             .by_id
             .keys()
             .filter(|id| !specs.iter().any(|spec| spec.id == **id))
             .cloned()
             .collect();
-          gone.iter().for_each(|id| self.gone(id));
-          specs.into_iter().for_each(|spec| self.set_listed(spec));
+          removed.iter().for_each(|id| self.entry_removed(id));
+          specs.into_iter().for_each(|spec| self.upsert_listed(spec));
           self.listed = true;
         }
-        Change::Set(spec) => self.set(spec),
-        Change::Removed(id) => self.gone(&id),
+        Change::Set(spec) => self.upsert(spec),
+        Change::Removed(id) => self.entry_removed(&id),
         Change::Invalid(id) => self.remove(&id),
       }
     }
@@ -36,22 +36,23 @@
     self.dispatch_waiting();
   }
 
-  /// Takes up an entry of a whole list, which the store may have from an older copy.
-  fn set_listed(&mut self, spec: Spec) {
+  /// Updates a backend from an entry of a complete list, which may come from an older copy of the
+  /// store.
+  fn upsert_listed(&mut self, spec: Spec) {
     let (id, life) = (spec.id.clone(), spec.life());
     let known = self.by_id.get(&id);
-    let before = known.map_or(0, |key| self.backends[*key].unconfirmed_until);
+    let previous = known.map_or(0, |key| self.backends[*key].unconfirmed_until);
     let unsure_until = match known {
-      Some(_) => before,
+      Some(_) => previous,
       None => self.restored.unconfirmed_until(life, self.now),
     };
-    self.set(spec);
+    self.upsert(spec);
     if let Some(key) = self.by_id.get(&id) {
       self.backends[*key].unconfirmed_until = unsure_until;
     }
   }
 
-  fn set(&mut self, spec: Spec) {
+  fn upsert(&mut self, spec: Spec) {
     if spec.stage == Stage::Draining {
       self.read_leaving(spec.life());
     }
@@ -61,7 +62,7 @@
       return;
     }
     if known.is_some_and(|known| spec.life().supersedes(known)) {
-      // Requests that still run there keep their place in the life that has ended.
+      // Requests that still run on the server remain counted for its previous life.
       self.remove(&spec.id);
     }
     match self.by_id.get(&spec.id) {
@@ -82,7 +83,7 @@
         {
           backend.update(holding, self.now);
         }
-        // An entry that comes back may be older than what the server said.
+        // A restored entry may be older than the server's own statement that it is leaving.
         backend.leaving = self.leaving.contains(backend.spec.life());
         let key = self.backends.insert(backend);
         self.by_id.insert(id, key);
@@ -90,27 +91,27 @@
     }
   }
 
-  /// The store answers again.
-  pub(crate) fn store_back(&mut self, silence: &Outage) {
-    let missing = self.lapsed().next().is_some();
-    self.expiry.store_back(self.now, silence, missing);
+  /// Handles the end of an outage of the store.
+  pub(crate) fn store_back(&mut self, outage: &Outage) {
+    let missing = self.missing_backends().next().is_some();
+    self.expiry.store_back(self.now, outage, missing);
   }
 
-  /// Servers whose entries are missing and may come back.
-  fn lapsed(&self) -> impl Iterator<Item = &Backend> {
+  /// Servers whose entries are missing but may return.
+  fn missing_backends(&self) -> impl Iterator<Item = &Backend> {
     self
       .backends
       .values()
       .filter(|backend| backend.missing_since.is_some())
   }
 
-  /// Gives up the servers whose entries did not come back in time.
+  /// Removes the servers whose entries did not return in time.
   pub(crate) fn drop_missing(&mut self) {
     if !self.expiry.take_ended(self.now) {
       return;
     }
     let ids: Vec<String> = self
-      .lapsed()
+      .missing_backends()
       .map(|backend| backend.spec.id.clone())
       .collect();
     self.changes += u64::from(!ids.is_empty());
@@ -122,9 +123,9 @@
     }
   }
 
-  /// A server's entry is gone; around the store's silence that says little of the
-  /// server, unless it was leaving.
-  fn gone(&mut self, id: &str) {
+  /// Handles the removal of a server's entry. Around an outage of the store the entry may return,
+  /// so the server is kept for a while unless it was leaving.
+  fn entry_removed(&mut self, id: &str) {
     let Some(key) = self.by_id.get(id).copied() else {
       return;
     };
@@ -147,7 +148,7 @@
     }
   }
 
-  /// A server that is gone keeps its place while requests run there.
+  /// Removes a server; its backend is kept while requests run on it.
   fn remove(&mut self, id: &str) {
     let Some(key) = self.by_id.get(id).copied() else {
       return;
@@ -166,12 +167,18 @@
     }
   }
 
-  pub(crate) fn receive_holdings(&mut self, holdings: Vec<Holding>, all: Option<(u32, u32)>) {
+  /// Applies published holdings. `snapshot_of` is a group and the number of groups if the holdings
+  /// replace all holdings of that group.
+  pub(crate) fn receive_holdings(
+    &mut self,
+    holdings: Vec<Holding>,
+    snapshot_of: Option<(u32, u32)>,
+  ) {
     let now = self.now;
     self
       .early_holdings
-      .retain(|_, (_, came)| now < *came + EARLY_MS);
-    if let Some((group, groups)) = all {
+      .retain(|_, (_, received_at)| now < *received_at + EARLY_HOLDING_TTL_MS);
+    if let Some((group, groups)) = snapshot_of {
       self
         .early_holdings
         .retain(|id, _| backend::group(id, groups) != group);
@@ -183,7 +190,7 @@
       }
     }
     let changed = !holdings.is_empty();
-    self.updates += u64::from(changed || all.is_some());
+    self.updates += u64::from(changed || snapshot_of.is_some());
     for holding in holdings {
       match self.by_id.get(&holding.id) {
         Some(key) => {
@@ -192,7 +199,7 @@
             continue;
           }
           if holding.life().supersedes(known.life()) {
-            self.set(reborn(&known, &holding));
+            self.upsert(restarted_spec(&known, &holding));
           }
           let key = self.by_id[&holding.id];
           self.backends[key].update(holding, now);
@@ -212,7 +219,7 @@
   pub(crate) fn update_loads(&mut self, loads: &[(u32, u16)]) {
     for backend in self.backends.values_mut() {
       let short = backend.spec.life().short_hash();
-      // A server that is not named has none.
+      // A server that is not listed has no requests.
       let load = loads.iter().find(|(id, _)| *id == short);
       backend.load = load.map_or(0, |(_, load)| u32::from(*load));
       backend.running_at_publish = backend.running;
@@ -220,9 +227,9 @@
   }
 }
 
-/// A server that started again, as far as the planner has published: what it had in memory
-/// is gone, what lies on its disk survives.
-fn reborn(known: &Spec, holding: &Holding) -> Spec {
+/// The spec of a restarted server, as far as the planner has published it: copies in memory are
+/// lost, copies on disk remain.
+fn restarted_spec(known: &Spec, holding: &Holding) -> Spec {
   Spec {
     born: holding.born,
     stage: Stage::Ready,
--- a/src/outbox.rs
+++ b/src/outbox.rs
@@ -1,75 +1,74 @@
-//! Datagrams to many instances, spread over time: as fast as a part of the link carries.
+//! Queue of datagrams to many instances, sent at the rate that a share of the link carries.
 //!
-//! What is sent to 295 instances at once fills the link, and what comes last is lost: those
-//! that came last in the list of instances met four times as many servers that did not hold
-//! what they were believed to hold.
+//! Sending to 295 instances at once fills the link and loses the last datagrams: the last instances
+//! in the list encounter four times as many servers that do not hold the expected models.
 
 use std::{collections::VecDeque, net::SocketAddr, sync::Arc};
 
-/// Time between two sends while something waits, ms.
+/// Interval between sends while datagrams are pending.
 pub const SLOT_MS: u64 = 4;
-/// Bytes that may go out at once after a rest, as a number of slots.
+/// Number of slots whose bytes may be sent at once after a pause.
 const BURST_SLOTS: u64 = 2;
 
 /// A datagram for an instance.
 pub type Datagram = (Arc<Vec<u8>>, SocketAddr);
 
-/// Datagrams that wait for their turn.
+/// Datagrams waiting to be sent, limited by a token bucket.
 #[derive(Debug)]
 pub struct Outbox {
-  waiting: VecDeque<Datagram>,
-  waiting_bytes: u64,
+  pending: VecDeque<Datagram>,
+  pending_bytes: u64,
   bytes_per_ms: u64,
-  /// Bytes that may go out now, and when that was counted, ms.
+  /// Bytes that may be sent now, and the time of the last refill in milliseconds.
   allowance: u64,
-  counted: u64,
+  refilled_at: u64,
 }
 
 impl Outbox {
-  /// An outbox that sends so many bytes a millisecond.
+  /// An empty outbox that sends `bytes_per_ms` bytes per millisecond, but at least one.
   pub fn new(bytes_per_ms: u64) -> Self {
     let bytes_per_ms = bytes_per_ms.max(1);
     Self {
-      waiting: VecDeque::new(),
-      waiting_bytes: 0,
+      pending: VecDeque::new(),
+      pending_bytes: 0,
       bytes_per_ms,
       allowance: bytes_per_ms * SLOT_MS * BURST_SLOTS,
-      counted: 0,
+      refilled_at: 0,
     }
   }
 
-  /// Adds a datagram for each instance, after all that waits.
+  /// Appends a datagram for each instance.
   pub fn push(&mut self, bytes: Vec<u8>, to: impl IntoIterator<Item = SocketAddr>) {
     let bytes = Arc::new(bytes);
     for address in to {
-      self.waiting_bytes += bytes.len() as u64;
-      self.waiting.push_back((bytes.clone(), address));
+      self.pending_bytes += bytes.len() as u64;
+      self.pending.push_back((bytes.clone(), address));
     }
   }
 
-  /// Whether something waits.
+  /// Whether datagrams are pending.
   pub fn has_pending(&self) -> bool {
-    !self.waiting.is_empty()
+    !self.pending.is_empty()
   }
 
-  /// Time until all that waits has gone out, ms.
+  /// Time until all pending datagrams have been sent, in milliseconds.
   pub fn drain_time_ms(&self) -> u64 {
-    self.waiting_bytes / self.bytes_per_ms
+    self.pending_bytes / self.bytes_per_ms
   }
 
-  /// What may go out now, in order.
+  /// Removes and returns the datagrams that may be sent now, in order.
   pub fn take_due(&mut self, now: u64) -> Vec<Datagram> {
-    let most = self.bytes_per_ms * SLOT_MS * BURST_SLOTS;
-    let more = self.bytes_per_ms * now.saturating_sub(self.counted);
-    self.allowance = self.allowance.saturating_add(more).min(most);
-    self.counted = now;
+    let capacity = self.bytes_per_ms * SLOT_MS * BURST_SLOTS;
+    let refill = self.bytes_per_ms * now.saturating_sub(self.refilled_at);
+    self.allowance = self.allowance.saturating_add(refill).min(capacity);
+    self.refilled_at = now;
     let mut due = Vec::new();
     while self.allowance > 0
-      && let Some((bytes, address)) = self.waiting.pop_front()
+      && let Some((bytes, address)) = self.pending.pop_front()
     {
-      // The last one may go beyond: it is made up for by the next slot.
+      // The last datagram may exceed the allowance; the next slot compensates for it.
       self.allowance = self.allowance.saturating_sub(bytes.len() as u64);
-      self.waiting_bytes -= bytes.len() as u64;
+      self.pending_bytes -= bytes.len() as u64;
       due.push((bytes, address));
     }
     due
--- a/src/replication.rs
+++ b/src/replication.rs
@@ -1,26 +1,25 @@
-//! How changes of holdings reach the other instances: cut into datagrams that each go on
-//! where the one before ends, so that a lost one is noticed and only what it carried is
-//! sent again.
+//! Replication of holding changes to the other instances. An update is split into consecutive
+//! datagrams, so that a lost datagram is detected and only its changes are sent again.
 
 use crate::{backend::Holding, placement::plan::Publication};
 
-/// Holdings in one datagram.
-const HOLDINGS: usize = 6;
+/// Maximum number of holdings in one datagram.
+const MAX_HOLDINGS_PER_PART: usize = 6;
 
-/// What one datagram carries of an update.
+/// Part of an update that is sent in one datagram.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Part {
-  /// Counts of changes that it lies between; from 0: a snapshot begins.
+  /// The part covers the changes between these counts; it starts a snapshot if `since` is 0.
   pub since: u64,
   pub latest: u64,
   pub holdings: Vec<Holding>,
 }
 
-/// The parts of an update, one at least.
+/// Splits an update into at least one part.
 pub fn parts(update: &Publication) -> Vec<Part> {
   let mut parts: Vec<Part> = Vec::new();
   let mut since = update.since;
-  for chunk in update.holdings.chunks(HOLDINGS) {
+  for chunk in update.holdings.chunks(MAX_HOLDINGS_PER_PART) {
     let latest = chunk.last().map_or(since, |(count, _)| *count);
     parts.push(Part {
       since,
@@ -40,17 +39,17 @@
   parts
 }
 
-/// How an update fits what an instance knows.
+/// Relation of an update to the changes that an instance knows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fit {
-  /// It replaces all that was known.
+  /// The update replaces all known holdings.
   Snapshot,
   Consecutive,
-  /// Something before it is lacking.
+  /// Changes before the update are missing.
   Gap,
 }
 
-/// Up to which change an instance knows the holdings of a group.
+/// Position in the changes of a group's holdings up to which an instance knows them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Position {
   /// Term of the holder that counts the changes.
@@ -59,7 +58,7 @@
 }
 
 impl Position {
-  /// Takes up an update of a term, where it fits.
+  /// Advances past an update, unless changes before it are missing.
   pub fn advance(&mut self, term: u64, since: u64, latest: u64) -> Fit {
     if since == 0 {
       *self = Self {
--- a/src/report.rs
+++ b/src/report.rs
@@ -1,9 +1,9 @@
-//! What an engine says of itself.
+//! Status report of an engine.
 
 use crate::replica::Id;
 use serde::{Deserialize, Serialize};
 
-/// Where an engine finds a checkpoint.
+/// Storage tier from which an engine loads a checkpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Tier {
@@ -12,7 +12,7 @@
   Remote,
 }
 
-/// How far a replica is on an engine.
+/// Lifecycle stage of a replica on an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Stage {
@@ -29,7 +29,7 @@
   pub stage: Stage,
   /// Requests running and queued, as of the report.
   pub running: u32,
-  /// Milliseconds since the last request ended; 0 while one runs.
+  /// Milliseconds since the last request ended; 0 while a request runs.
   pub idle_ms: u64,
 }
 
@@ -40,12 +40,12 @@
   pub tier: Tier,
 }
 
-/// One status report of an engine.
+/// Status report of an engine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
-  /// Start time of the engine, ms; rises with every restart.
+  /// Start time of the engine in milliseconds; increases with every restart.
   pub boot: u64,
-  /// Rises with every report of one boot.
+  /// Increases with every report of one boot.
   pub seq: u64,
   pub leaving: bool,
   pub residents: Vec<Resident>,
@@ -53,12 +53,12 @@
 }
 
 impl Report {
-  /// The replica, if it is on the engine.
+  /// The replica with this id; `None` if it is not on the engine.
   pub fn find(&self, replica: Id) -> Option<&Resident> {
     self.residents.iter().find(|found| found.replica == replica)
   }
 
-  /// Best tier at which the model's checkpoint is cached.
+  /// Fastest tier at which the model's checkpoint is cached; `Remote` if it is not cached.
   pub fn tier(&self, model: &str) -> Tier {
     let tiers = self.cached.iter().filter(|cached| cached.model == model);
     tiers
