--- a/src/admit.rs
+++ b/src/admit.rs
@@ -336,7 +336,7 @@
     if let Some(request) = self.requests.remove(&ticket)
       && let Work::Service { key: Some(key), .. } = request.descriptor.work
     {
-      self.settle_claim(ticket, key, end, answer);
+      self.record_claim_outcome(ticket, key, end, answer);
     }
   }
 
@@ -386,7 +386,7 @@
       && let Work::Service { key: Some(key), .. } = request.descriptor.work
     {
       let end = End::Broken(request.verdict);
-      self.settle_claim(ticket, key, end, None);
+      self.record_claim_outcome(ticket, key, end, None);
     }
     self.refuse(ticket, reason, MIN_RETRY_AFTER_MS);
   }
--- a/src/apply.rs
+++ b/src/apply.rs
@@ -55,7 +55,7 @@
       file.name
     ));
   }
-  let name = Name::of(kind, file.name);
+  let name = Name::new(kind, file.name);
   Catalog::check(&name, Some(&file.spec.to_string()))?;
   Ok((name, file.spec))
 }
@@ -93,7 +93,7 @@
 }
 
 fn client(platform: &str) -> Client {
-  Client::open(&Settings {
+  Client::new(&Settings {
     instance: "apply".into(),
     zone: String::new(),
     callers: String::new(),
@@ -193,14 +193,14 @@
   };
   if let Some(name) = rest.get(1) {
     let object = client
-      .read(&Name::of(kinds[0], name))
+      .read(&Name::new(kinds[0], name))
       .map_err(unavailable)?;
     println!("{}", object.value.as_deref().unwrap_or("absent"));
     return Ok(ExitCode::SUCCESS);
   }
   for kind in kinds {
     for (name, version) in client.names(kind).map_err(unavailable)? {
-      println!("{}/{name}\t{version}", kind.word());
+      println!("{}/{name}\t{version}", kind.as_str());
     }
   }
   Ok(ExitCode::SUCCESS)
--- a/src/audit.rs
+++ b/src/audit.rs
@@ -8,7 +8,7 @@
   catalog::Model,
   effect::Effect,
   event::Tag,
-  fact::{Body, Key, Listed, Resident, Version, short},
+  fact::{Body, Key, MachineState, Resident, Version, short_hash},
   history::History,
   job::Step,
   object::{Kind, Name},
@@ -129,7 +129,7 @@
       tag: Tag::Audit {
         model: model.clone(),
       },
-      name: Name::of(Kind::ModelRecord, model),
+      name: Name::new(Kind::ModelRecord, model),
       change: None,
       urgent,
     });
@@ -203,7 +203,7 @@
       .facts
       .get(&Key::Residence(replica.server.clone()))
       .is_some();
-    let gone = self.listed(&replica.server) == Listed::Gone;
+    let gone = self.listed(&replica.server) == MachineState::Gone;
     let server = self.server(&replica.server);
     let stage = self.servers[server].residents.get(&replica.id);
     let loaded = stage == Some(&Stage::Ready);
@@ -268,7 +268,7 @@
     let cached_models = report.cached.iter();
     let cache = cached_models
       .filter(|cached| cached.tier != Tier::Remote)
-      .map(|cached| (short(&cached.model), cached.tier))
+      .map(|cached| (short_hash(&cached.model), cached.tier))
       .collect();
     self.publish_changed(
       Key::Cache(status.server.clone()),
@@ -303,7 +303,7 @@
   /// Polls the status of the engines of this instance's servers.
   pub fn poll_servers(&mut self) {
     for name in self.owned_servers.clone() {
-      if self.listed(&name) == Listed::Gone {
+      if self.listed(&name) == MachineState::Gone {
         continue;
       }
       let key = self.server(&name);
@@ -336,7 +336,7 @@
         tag: Tag::Inspect {
           server: name.clone(),
         },
-        name: Name::of(Kind::ServerRecord, name),
+        name: Name::new(Kind::ServerRecord, name),
         change: None,
         urgent: false,
       });
--- a/src/batch.rs
+++ b/src/batch.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 
 /// Largest encoded batch, below the platform's limit of a megabyte.
-pub const BATCH_LIMIT: usize = 900_000;
+pub const MAX_BATCH_BYTES: usize = 900_000;
 
 /// What became of one item.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
--- a/src/batches.rs
+++ b/src/batches.rs
@@ -63,7 +63,7 @@
 
 impl Batches {
   /// Whether no outcome waits to be recorded.
-  pub fn idle(&self) -> bool {
+  pub fn is_idle(&self) -> bool {
     self.entries.values().all(|entry| {
       entry.running.is_empty() && entry.outcomes.is_empty() && entry.writing.is_empty()
     })
@@ -76,10 +76,10 @@
 
 impl State {
   /// A caller submits, polls or cancels a batch.
-  pub fn on_batch_asked(&mut self, ticket: Ticket, id: String, change: Option<Change>) {
+  pub fn on_batch_requested(&mut self, ticket: Ticket, id: String, change: Option<Change>) {
     self.emit(Effect::Update {
       tag: Tag::Caller { ticket },
-      name: Name::of(Kind::Batch, id),
+      name: Name::new(Kind::Batch, id),
       change: change.map(update::Change::Batch),
       urgent: true,
     });
@@ -136,7 +136,7 @@
   }
 
   /// Brings the batches of this instance further.
-  pub fn tend_batches(&mut self) {
+  pub fn run_batches(&mut self) {
     let open: Vec<String> = self
       .batches
       .entries
@@ -172,7 +172,7 @@
     for (id, version) in old {
       self.batches.entries.remove(&id);
       self.emit(Effect::Remove {
-        name: Name::of(Kind::Batch, id),
+        name: Name::new(Kind::Batch, id),
         version,
       });
     }
@@ -201,7 +201,7 @@
   fn update_batch(&mut self, id: &str, change: Option<Change>) {
     self.emit(Effect::Update {
       tag: Tag::Batch { id: id.into() },
-      name: Name::of(Kind::Batch, id),
+      name: Name::new(Kind::Batch, id),
       change: change.map(update::Change::Batch),
       urgent: false,
     });
--- a/src/callers.rs
+++ b/src/callers.rs
@@ -69,9 +69,9 @@
     ("POST", ["v1", "chat", "completions"]) => completions::complete(shared, request, true),
     ("GET", ["v1", "models"]) => completions::models(shared, request),
     ("POST", ["v1", "batches"]) => submissions::submit(shared, request),
-    ("GET", ["v1", "batches", id]) => submissions::batch(shared, request, id, None),
+    ("GET", ["v1", "batches", id]) => submissions::handle(shared, request, id, None),
     ("POST", ["v1", "batches", id, "cancel"]) => {
-      submissions::batch(shared, request, id, Some(Change::Cancel));
+      submissions::handle(shared, request, id, Some(Change::Cancel));
     }
     ("GET" | "POST", ["services", service, ..]) => {
       let call = path.splitn(4, '/').nth(3).unwrap_or_default();
--- a/src/catalog.rs
+++ b/src/catalog.rs
@@ -135,7 +135,7 @@
       }
       Kind::Policy => {
         let policy: Policy = decode(name, text)?;
-        if let Some(fault) = policy.fault() {
+        if let Some(fault) = policy.validation_error() {
           return Err(format!("{name}: {fault}"));
         }
         self.policies.insert(key, policy);
@@ -143,7 +143,7 @@
       _ => {
         return Err(format!(
           "{name}: kind `{}` is not configuration",
-          name.kind.word()
+          name.kind.as_str()
         ));
       }
     }
@@ -192,7 +192,7 @@
     self
       .policies
       .iter()
-      .filter(|(_, policy)| policy.models.matches(&model.labels) && policy.serves(caller))
+      .filter(|(_, policy)| policy.models.matches(&model.labels) && policy.includes_caller(caller))
       .max_by_key(|(name, policy)| (policy.precedence, std::cmp::Reverse(*name)))
       .map(|(name, policy)| (name.as_str(), policy))
   }
--- a/src/claim.rs
+++ b/src/claim.rs
@@ -7,9 +7,9 @@
 use std::collections::BTreeMap;
 
 /// Largest result kept with a claim, in bytes.
-pub const RESULT_LIMIT: usize = 2048;
+pub const MAX_RESULT_BYTES: usize = 2048;
 /// Largest encoded shard, below the platform's limit of a megabyte.
-pub const SHARD_LIMIT: usize = 900_000;
+pub const MAX_SHARD_BYTES: usize = 900_000;
 
 /// How far a claimed call is.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -77,7 +77,7 @@
     let before = self.claims.len();
     self.claims.retain(|_, claim| claim.expires > now);
     let mut changed = self.claims.len() != before;
-    let mut room = SHARD_LIMIT.saturating_sub(self.bytes());
+    let mut room = MAX_SHARD_BYTES.saturating_sub(self.bytes());
     for change in changes {
       changed |= self.apply_one(change, &mut room);
     }
--- a/src/claims.rs
+++ b/src/claims.rs
@@ -7,7 +7,7 @@
 
 use crate::{
   attempt::End,
-  claim::{Act, Change, Outcome, Progress, RESULT_LIMIT},
+  claim::{Act, Change, MAX_RESULT_BYTES, Outcome, Progress},
   effect::Effect,
   event::{Call, Tag},
   journal::Entry,
@@ -77,7 +77,7 @@
 
 impl Claims {
   /// Whether anything is still to be recorded.
-  pub fn idle(&self) -> bool {
+  pub fn is_idle(&self) -> bool {
     self.deferred.is_empty()
       && self
         .desks
@@ -115,7 +115,7 @@
   }
 
   /// Records how a claimed call ended.
-  pub fn settle_claim(
+  pub fn record_claim_outcome(
     &mut self,
     ticket: Ticket,
     key: u64,
@@ -126,7 +126,7 @@
       (_, Some((status, body))) => Act::Finish {
         progress: Progress::Done {
           status,
-          body: body.filter(|body| body.len() <= RESULT_LIMIT),
+          body: body.filter(|body| body.len() <= MAX_RESULT_BYTES),
         },
       },
       (End::Declined | End::Broken(Verdict::NotRun), None) => Act::Free,
@@ -183,7 +183,7 @@
         });
         self.emit(Effect::Update {
           tag: Tag::Claims { shard, group },
-          name: Name::of(Kind::Claims, shard.to_string()),
+          name: Name::new(Kind::Claims, shard.to_string()),
           change: Some(update::Change::Claims { changes, now }),
           urgent: true,
         });
@@ -192,7 +192,7 @@
   }
 
   /// Takes up another instance's claims.
-  pub fn on_claim_asked(&mut self, call: Call, shard: u32, changes: Vec<Change>) {
+  pub fn on_claims_requested(&mut self, call: Call, shard: u32, changes: Vec<Change>) {
     if changes.is_empty() || shard >= self.limits.claim_shards {
       self.emit(Effect::ClaimAnswer {
         call,
@@ -320,7 +320,7 @@
   }
 
   /// Tries deferred changes again and gives up groups that were lost.
-  pub fn tend_claims(&mut self) {
+  pub fn retry_claims(&mut self) {
     let now = self.now;
     let deferred = std::mem::take(&mut self.claims.deferred);
     let (due, later): (Vec<_>, Vec<_>) = deferred.into_iter().partition(|(at, ..)| *at <= now);
--- a/src/decide.rs
+++ b/src/decide.rs
@@ -1,7 +1,7 @@
 //! Decisions of a model's owner: when to load and when to retire replicas.
 
 use crate::{
-  fact::Listed,
+  fact::MachineState,
   group,
   job::Step,
   journal::Entry,
@@ -296,7 +296,7 @@
 
   /// Whether a server's memory is known to be free because the machine is gone.
   pub fn server_gone(&self, server: &str) -> bool {
-    self.listed(server) == Listed::Gone
+    self.listed(server) == MachineState::Gone
   }
 }
 
--- a/src/event.rs
+++ b/src/event.rs
@@ -3,7 +3,7 @@
 use crate::{
   attempt::End,
   claim,
-  fact::Listed,
+  fact::MachineState,
   notice::Notice,
   object::{Name, Object},
   order,
@@ -55,7 +55,7 @@
   pub id: String,
   /// Peer address for an entry instance.
   pub peer: Option<String>,
-  pub state: Listed,
+  pub state: MachineState,
 }
 
 /// An input of the reducer.
--- a/src/fact.rs
+++ b/src/fact.rs
@@ -62,7 +62,7 @@
 /// State of a machine in the platform's list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Listed {
+pub enum MachineState {
   Live,
   Leaving,
   Gone,
@@ -70,7 +70,7 @@
 
 /// The short hash of a model's name in `Body::Cache`. Two names that share one
 /// mislead an estimate, nothing more.
-pub fn short(model: &str) -> u32 {
+pub fn short_hash(model: &str) -> u32 {
   xxh3_64(model.as_bytes()) as u32
 }
 
@@ -85,7 +85,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Body {
   Member(Member),
-  Listing(Listed),
+  Listing(MachineState),
   /// JSON text, or `None` for a deleted object.
   Object(Option<String>),
   /// Why it failed its check.
--- a/src/facts.rs
+++ b/src/facts.rs
@@ -139,7 +139,7 @@
   }
 
   /// Sequence of the newest change.
-  pub fn newest(&self) -> u64 {
+  pub fn newest_seq(&self) -> u64 {
     self.next - 1
   }
 
@@ -161,7 +161,13 @@
   /// Encoded facts changed after `seen`, but those that `peer` is known to hold, up
   /// to `most` bytes, with the sequence they reach. Without `forward` only facts
   /// made here: where all instances are neighbours, each publishes its own.
-  pub fn since(&self, seen: u64, peer: &str, most: usize, forward: bool) -> (Vec<Vec<u8>>, u64) {
+  pub fn changes_since(
+    &self,
+    seen: u64,
+    peer: &str,
+    most: usize,
+    forward: bool,
+  ) -> (Vec<Vec<u8>>, u64) {
     let peer = self.origins.get(peer).map_or(0, |bit| 1 << bit);
     let mut facts = Vec::new();
     let mut bytes = 0;
@@ -189,7 +195,7 @@
   }
 
   /// Keys in the buckets whose hash differs from `theirs`.
-  pub fn differing(&self, theirs: &[u64]) -> Vec<Key> {
+  pub fn differing_keys(&self, theirs: &[u64]) -> Vec<Key> {
     if theirs.len() != BUCKETS || theirs == self.buckets {
       return Vec::new();
     }
--- a/src/gossip.rs
+++ b/src/gossip.rs
@@ -62,7 +62,7 @@
 
 impl State {
   /// Takes up a fact; anything it changes here follows at once.
-  pub fn take(&mut self, fact: Fact, origin: &str) {
+  pub fn merge_fact(&mut self, fact: Fact, origin: &str) {
     let key = fact.key.clone();
     if self.disputed(&fact) {
       return;
@@ -71,7 +71,7 @@
       return;
     }
     if urgent(&key) {
-      self.gossip.urgent = self.facts.newest();
+      self.gossip.urgent = self.facts.newest_seq();
       self.gossip.urgent_at = self.now;
     }
     self.learn(&key);
@@ -155,7 +155,7 @@
     let most = self.limits.delta_bytes;
     let link = self.gossip.links.entry(peer.into()).or_default();
     let forward = self.members.forwards();
-    let (mut facts, upto) = self.facts.since(link.sent, peer, most, forward);
+    let (mut facts, upto) = self.facts.changes_since(link.sent, peer, most, forward);
     let mut bytes: usize = facts.iter().map(Vec::len).sum();
     while bytes < most {
       let Some(key) = link.repair.pop_front() else {
@@ -166,7 +166,7 @@
         facts.push(fact);
       }
     }
-    let compare = link.until_repair == 0 && upto == self.facts.newest();
+    let compare = link.until_repair == 0 && upto == self.facts.newest_seq();
     link.until_repair = if compare {
       REPAIR_EVERY
     } else {
@@ -190,7 +190,7 @@
   fn merge(&mut self, delta: &Delta) {
     for bytes in &delta.facts {
       if let Some(fact) = Fact::decode(bytes) {
-        self.take(fact, &delta.from);
+        self.merge_fact(fact, &delta.from);
       }
     }
     let link = self.gossip.links.entry(delta.from.clone()).or_default();
@@ -198,7 +198,7 @@
       // A new process knows nothing of ours: the hashes show what it lacks.
       *link = Link {
         boot: delta.boot,
-        sent: self.facts.newest(),
+        sent: self.facts.newest_seq(),
         next_at: link.next_at,
         asked_at: link.asked_at,
         ..Link::default()
@@ -206,9 +206,9 @@
     }
     link.failures = 0;
     link.seen = link.seen.max(delta.upto);
-    link.sent = link.sent.max(delta.seen.min(self.facts.newest()));
+    link.sent = link.sent.max(delta.seen.min(self.facts.newest_seq()));
     if !delta.buckets.is_empty() {
-      link.repair = self.facts.differing(&delta.buckets).into();
+      link.repair = self.facts.differing_keys(&delta.buckets).into();
     }
   }
 
--- a/src/instance.rs
+++ b/src/instance.rs
@@ -65,7 +65,7 @@
       log,
       metrics,
       journal: Mutex::default(),
-      platform: Client::open(&settings),
+      platform: Client::new(&settings),
       traffic: Arc::default(),
       stopping: AtomicBool::new(false),
       input,
--- a/src/jobs.rs
+++ b/src/jobs.rs
@@ -173,7 +173,7 @@
     };
     self.emit(Effect::Update {
       tag,
-      name: Name::of(kind, name),
+      name: Name::new(kind, name),
       change,
       urgent,
     });
--- a/src/learn.rs
+++ b/src/learn.rs
@@ -4,7 +4,7 @@
   catalog::Catalog,
   effect::Effect,
   event::Listing,
-  fact::{Body, Key, Listed, Version},
+  fact::{Body, Key, MachineState, Version},
   group,
   journal::Entry,
   object::{Kind, Name, Object},
@@ -54,8 +54,8 @@
     }
   }
 
-  fn learn_listing(&mut self, machine: &str, listed: Listed) {
-    if listed == Listed::Live || !self.catalog.servers.contains_key(machine) {
+  fn learn_listing(&mut self, machine: &str, listed: MachineState) {
+    if listed == MachineState::Live || !self.catalog.servers.contains_key(machine) {
       return;
     }
     let key = self.server(machine);
@@ -122,7 +122,7 @@
   /// Takes up the platform's list; what was listed and no longer is has gone.
   pub fn on_listed(&mut self, revision: u64, entries: Vec<Listing>) {
     for entry in &entries {
-      if let (Some(peer), true) = (&entry.peer, entry.state != Listed::Gone) {
+      if let (Some(peer), true) = (&entry.peer, entry.state != MachineState::Gone) {
         self.seed(&entry.id, peer);
       }
     }
@@ -133,11 +133,13 @@
         (Key::Listing(id), Body::Listing(listed)) => Some((id, listed)),
         _ => None,
       })
-      .filter(|(id, listed)| **listed != Listed::Gone && !entries.iter().any(|e| e.id == **id))
+      .filter(|(id, listed)| {
+        **listed != MachineState::Gone && !entries.iter().any(|e| e.id == **id)
+      })
       .map(|(id, _)| id.clone())
       .collect();
     let listed = entries.into_iter().map(|entry| (entry.id, entry.state));
-    let gone = vanished.into_iter().map(|id| (id, Listed::Gone));
+    let gone = vanished.into_iter().map(|id| (id, MachineState::Gone));
     for (id, state) in listed.chain(gone) {
       let key = Key::Listing(id.clone());
       let known = matches!(self.facts.get(&key), Some((Body::Listing(held), _)) if *held == state);
@@ -195,7 +197,7 @@
     let me = &self.me.instance;
     let zone = self.zone_members();
     let watch = zone.is_empty()
-      || crate::rendezvous::leads(&zone, &self.me.zone, me, WATCHERS)
+      || crate::rendezvous::is_top_ranked(&zone, &self.me.zone, me, WATCHERS)
       || !self.configured;
     if watch != self.watching {
       self.watching = watch;
--- a/src/object.rs
+++ b/src/object.rs
@@ -22,7 +22,7 @@
   pub const CONFIGURED: [Self; 4] = [Self::Model, Self::Server, Self::Service, Self::Policy];
 
   /// The kind's path segment in the object API.
-  pub fn word(self) -> &'static str {
+  pub fn as_str(self) -> &'static str {
     match self {
       Self::Model => "model",
       Self::Server => "server",
@@ -50,7 +50,7 @@
       Self::Accepted,
     ]
     .into_iter()
-    .find(|kind| kind.word() == word)
+    .find(|kind| kind.as_str() == word)
   }
 }
 
@@ -63,7 +63,7 @@
 
 impl Name {
   /// The name of an object of `kind`.
-  pub fn of(kind: Kind, name: impl Into<String>) -> Self {
+  pub fn new(kind: Kind, name: impl Into<String>) -> Self {
     Self {
       kind,
       name: name.into(),
@@ -73,7 +73,7 @@
 
 impl std::fmt::Display for Name {
   fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
-    write!(f, "{}/{}", self.kind.word(), self.name)
+    write!(f, "{}/{}", self.kind.as_str(), self.name)
   }
 }
 
--- a/src/planner.rs
+++ b/src/planner.rs
@@ -560,7 +560,7 @@
     let mut policies = BTreeMap::new();
     for object in objects {
       let policy = serde_json::from_value::<Policy>(object.spec).map_err(|error| error.to_string());
-      let validated = policy.and_then(|policy| policy.fault().map_or(Ok(policy), Err));
+      let validated = policy.and_then(|policy| policy.validation_error().map_or(Ok(policy), Err));
       match validated {
         Ok(policy) => {
           policies.insert(object.name, policy);
--- a/src/platform.rs
+++ b/src/platform.rs
@@ -11,7 +11,7 @@
   bucket::Bucket,
   clock::Moment,
   event::Listing,
-  fact::Listed,
+  fact::MachineState,
   object::{Kind, Name, Object},
   settings::Settings,
   update::{Change, Outcome, Stored, Value},
@@ -81,7 +81,7 @@
   id: String,
   #[serde(default)]
   peer: Option<String>,
-  state: Listed,
+  state: MachineState,
 }
 
 #[derive(Deserialize)]
@@ -106,7 +106,7 @@
 
 impl Client {
   /// A client for the platform named in the settings.
-  pub fn open(settings: &Settings) -> Self {
+  pub fn new(settings: &Settings) -> Self {
     let config = Agent::config_builder()
       .max_redirects(0)
       .http_status_as_error(false)
@@ -223,7 +223,7 @@
     if !self.permit(false, until) {
       return Err(Error::Unavailable);
     }
-    let kinds = Kind::CONFIGURED.map(Kind::word).join(",");
+    let kinds = Kind::CONFIGURED.map(Kind::as_str).join(",");
     let wait_ms = wait.as_millis();
     let path = format!("/objects?kinds={kinds}&after={after}&wait={wait_ms}&limit={PAGE}");
     let watched: Option<Watched> = self.get(&path, wait + CALL)?;
@@ -252,7 +252,7 @@
     if !self.permit(false, Moment::now() + CALL) {
       return Err(Error::Unavailable);
     }
-    let names = self.get(&format!("/names/{}", kind.word()), CALL)?;
+    let names = self.get(&format!("/names/{}", kind.as_str()), CALL)?;
     names.ok_or(Error::Unavailable)
   }
 
@@ -344,7 +344,7 @@
 
 fn object(changed: Changed) -> Option<Object> {
   Some(Object {
-    name: Name::of(Kind::parse(&changed.kind)?, changed.name),
+    name: Name::new(Kind::parse(&changed.kind)?, changed.name),
     version: changed.version,
     value: changed.value.map(|value| value.get().to_string()),
   })
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -119,7 +119,7 @@
   }
 
   /// The first fault of the policy, naming field and value.
-  pub fn fault(&self) -> Option<String> {
+  pub fn validation_error(&self) -> Option<String> {
     if self.max_replicas == 0 || self.max_replicas < self.min_replicas {
       return Some(format!(
         "maxReplicas: `{}` is below minReplicas `{}` or zero",
@@ -137,17 +137,20 @@
         slice.from, slice.to
       ));
     }
-    let models = self.models.fault().map(|fault| format!("models: {fault}"));
+    let models = self
+      .models
+      .validation_error()
+      .map(|fault| format!("models: {fault}"));
     models.or_else(|| {
       self
         .servers
-        .fault()
+        .validation_error()
         .map(|fault| format!("servers: {fault}"))
     })
   }
 
   /// Whether the caller falls in the policy's share of traffic.
-  pub fn serves(&self, caller: u64) -> bool {
+  pub fn includes_caller(&self, caller: u64) -> bool {
     self.slice.is_none_or(|slice| {
       let percentile = (caller % 100) as u8;
       (slice.from..slice.to).contains(&percentile)
--- a/src/reduce.rs
+++ b/src/reduce.rs
@@ -47,7 +47,7 @@
       end,
       answer,
     } => state.on_attempt_ended(ticket, number, end, answer),
-    Event::BatchRequested { ticket, id, change } => state.on_batch_asked(ticket, id, change),
+    Event::BatchRequested { ticket, id, change } => state.on_batch_requested(ticket, id, change),
     Event::ItemEnded { id, index, item } => state.on_item_ended(&id, index, item),
     Event::Updated { tag, name, outcome } => on_updated(state, tag, &name, outcome),
     Event::OrderEnded {
@@ -66,7 +66,7 @@
       call,
       shard,
       changes,
-    } => state.on_claim_asked(call, shard, changes),
+    } => state.on_claims_requested(call, shard, changes),
     Event::ClaimAnswered {
       shard,
       group,
@@ -113,8 +113,8 @@
   state.refresh_owned();
   state.poll_servers();
   state.inspect_servers();
-  state.tend_claims();
-  state.tend_batches();
+  state.retry_claims();
+  state.run_batches();
   if state.next_recovery_at <= state.now {
     state.next_recovery_at = state.now + RECOVERY_INTERVAL_MS;
     state.audit();
@@ -126,7 +126,7 @@
     state.dispatch_queued(key);
     state.report_demand(key);
     state.decide_if_owned(key);
-    state.share(key);
+    state.grant_shares(key);
     state.count_idle(key);
     state.retire_unneeded(key);
     state.deactivate_if_unused(key);
@@ -164,8 +164,8 @@
   /// Whether a planned stop has no work left to wait for.
   fn drained(&self) -> bool {
     self.requests.is_empty()
-      && self.claims.idle()
-      && self.batches.idle()
+      && self.claims.is_idle()
+      && self.batches.is_idle()
       && self
         .jobs
         .values()
--- a/src/rendezvous.rs
+++ b/src/rendezvous.rs
@@ -20,7 +20,7 @@
 }
 
 /// Whether `member` is among the first `count` for `key`.
-pub fn leads(members: &[String], key: &str, member: &str, count: usize) -> bool {
+pub fn is_top_ranked(members: &[String], key: &str, member: &str, count: usize) -> bool {
   let seed = seed(key);
   let mine = weight(member, seed);
   let ahead = members
--- a/src/selector.rs
+++ b/src/selector.rs
@@ -62,7 +62,7 @@
   }
 
   /// The first fault of the selector.
-  pub fn fault(&self) -> Option<String> {
+  pub fn validation_error(&self) -> Option<String> {
     self.match_expressions.iter().find_map(|expression| {
       let needs = matches!(expression.operator, Operator::In | Operator::NotIn);
       (needs == expression.values.is_empty()).then(|| {
--- a/src/server.rs
+++ b/src/server.rs
@@ -1,7 +1,7 @@
 //! State of a backend server as known to one instance.
 
 use crate::{
-  fact::short,
+  fact::short_hash,
   replica::Id,
   report::{Stage, Tier},
 };
@@ -67,7 +67,7 @@
   pub fn tier(&self, model: &str) -> Tier {
     self
       .cached
-      .get(&short(model))
+      .get(&short_hash(model))
       .copied()
       .unwrap_or(Tier::Remote)
   }
--- a/src/share.rs
+++ b/src/share.rs
@@ -99,7 +99,7 @@
     self.groups[key].record_demand(from, demand, arrived);
     self.mark_active(key);
     self.decide(key);
-    self.share(key);
+    self.grant_shares(key);
   }
 
   fn on_share(&mut self, model: &str, policy: &str, replica: Id, slots: u32) {
@@ -124,7 +124,7 @@
   }
 
   /// Hands out the slots of a group's replicas by demand.
-  pub fn share(&mut self, key: group::Key) {
+  pub fn grant_shares(&mut self, key: group::Key) {
     let group = &self.groups[key];
     if self.limits.dispatch == Dispatch::Push || !self.owned.contains_key(&group.model) {
       return;
--- a/src/state.rs
+++ b/src/state.rs
@@ -5,7 +5,7 @@
   catalog::{Catalog, DEFAULT_POLICY, Model, Server as Spec},
   claims::Claims,
   effect::Effect,
-  fact::{Body, Fact, Health, Key, Listed, Member, Version},
+  fact::{Body, Fact, Health, Key, MachineState, Member, Version},
   facts::Table,
   gossip::Gossip,
   group::{self, Group},
@@ -192,7 +192,7 @@
 
   /// Adds a fact that this instance produced.
   pub fn publish(&mut self, key: Key, version: Version, body: Body) {
-    self.take(Fact { key, version, body }, "");
+    self.merge_fact(Fact { key, version, body }, "");
   }
 
   /// Queues `effect` for execution.
@@ -231,10 +231,10 @@
 
   /// State of a machine in the platform's list; a machine that was never listed counts
   /// as live.
-  pub fn listed(&self, machine: &str) -> Listed {
+  pub fn listed(&self, machine: &str) -> MachineState {
     match self.facts.get(&Key::Listing(machine.into())) {
       Some((Body::Listing(listed), _)) => *listed,
-      _ => Listed::Live,
+      _ => MachineState::Live,
     }
   }
 
@@ -249,7 +249,7 @@
       Some((Body::Member(member), _)) => member.boot > boot,
       _ => false,
     };
-    replaced || self.listed(instance) == Listed::Gone
+    replaced || self.listed(instance) == MachineState::Gone
   }
 
   /// Returns the key of a server and adds the server if it is new.
@@ -302,7 +302,7 @@
       .server_keys
       .get(name)
       .is_some_and(|key| self.servers[*key].leaving);
-    !leaving && self.listed(name) == Listed::Live && self.catalog.servers.contains_key(name)
+    !leaving && self.listed(name) == MachineState::Live && self.catalog.servers.contains_key(name)
   }
 
   /// Decided replicas of a model, as last published.
--- a/src/status.rs
+++ b/src/status.rs
@@ -1,7 +1,7 @@
 //! What an instance knows, for operators.
 
 use crate::{
-  fact::{Body, Health, Key, Listed},
+  fact::{Body, Health, Key, MachineState},
   object::Name,
   replica::Target,
   state::State,
@@ -219,7 +219,7 @@
 fn leaving(state: &State) -> Vec<String> {
   let facts = state.facts.iter();
   let leaving = facts.filter_map(|(key, _, body)| match (key, body) {
-    (Key::Listing(id), Body::Listing(Listed::Leaving)) => Some(id.clone()),
+    (Key::Listing(id), Body::Listing(MachineState::Leaving)) => Some(id.clone()),
     _ => None,
   });
   leaving.collect()
--- a/src/submissions.rs
+++ b/src/submissions.rs
@@ -1,7 +1,7 @@
 //! Batches, as callers submit, poll and cancel them.
 
 use crate::{
-  batch::{BATCH_LIMIT, Batch, Change, Item},
+  batch::{Batch, Change, Item, MAX_BATCH_BYTES},
   callers::{MAX_DEADLINE_MS, next_directive, parse_options},
   completions::DEFAULT_MAX_TOKENS,
   event::Event,
@@ -47,9 +47,9 @@
     prompts: body.prompts,
   };
   let size = serde_json::to_vec(&batch).unwrap_or_default().len();
-  if size > BATCH_LIMIT {
+  if size > MAX_BATCH_BYTES {
     let text =
-      format!("prompts: `{size}` bytes are more than {BATCH_LIMIT}; submit several batches");
+      format!("prompts: `{size}` bytes are more than {MAX_BATCH_BYTES}; submit several batches");
     return reply::error(request, 413, "invalid_request", &text);
   }
   let id = match request.header("idempotency-key") {
@@ -60,7 +60,7 @@
     None => format!("{:016x}", rand::random::<u64>()),
   };
   let change = Change::Submit(Box::new(batch));
-  self::batch(shared, request, &id, Some(change));
+  self::handle(shared, request, &id, Some(change));
 }
 
 fn check_batch(body: BatchBody) -> Result<BatchBody, String> {
@@ -80,7 +80,7 @@
 }
 
 /// Submits, polls or cancels a batch.
-pub fn batch(shared: &Shared, request: &mut Request, id: &str, change: Option<Change>) {
+pub fn handle(shared: &Shared, request: &mut Request, id: &str, change: Option<Change>) {
   let submits = matches!(change, Some(Change::Submit(_)));
   let (ticket, directives) = shared.open_ticket();
   shared.notify(Event::BatchRequested {
--- a/stand-ins/src/faults.rs
+++ b/stand-ins/src/faults.rs
@@ -6,7 +6,7 @@
   fleet::{Fleet, Plan},
   proxy::Fault,
 };
-use bendsaddle::{compare::quantile, fact::Listed, object::Kind};
+use bendsaddle::{compare::quantile, fact::MachineState, object::Kind};
 use serde_json::json;
 use std::{
   io,
@@ -102,7 +102,7 @@
     return f64::NAN;
   };
   let name = replica.server.clone();
-  fleet.platform.machine(&name, None, Listed::Leaving);
+  fleet.platform.machine(&name, None, MachineState::Leaving);
   until(|| {
     fleet.members.iter().all(|member| {
       let leaving = member.status()["leaving"]
--- a/stand-ins/src/fleet.rs
+++ b/stand-ins/src/fleet.rs
@@ -8,7 +8,7 @@
   proxy::Proxy,
   service::Service,
 };
-use bendsaddle::{fact::Listed, instance::Instance, object::Kind, settings::Settings};
+use bendsaddle::{fact::MachineState, instance::Instance, object::Kind, settings::Settings};
 use serde_json::{Value, json};
 use slog::{Discard, Logger, o};
 use std::{
@@ -246,7 +246,9 @@
         "memoryMb": options.memory_mb, "slots": options.slots, "fencing": options.fencing,
         "labels": { "name": options.name } });
       self.platform.put(Kind::Server, &options.name, value);
-      self.platform.machine(&options.name, None, Listed::Live);
+      self
+        .platform
+        .machine(&options.name, None, MachineState::Live);
     }
     for (name, value) in models {
       self.platform.put(Kind::Model, name, value.clone());
@@ -280,7 +282,9 @@
       None => start_thread(&name, &settings)?,
     };
     let peers = member.peers.clone();
-    self.platform.machine(&name, Some(peers), Listed::Live);
+    self
+      .platform
+      .machine(&name, Some(peers), MachineState::Live);
     self.members.push(member);
     Ok(())
   }
@@ -289,7 +293,9 @@
   pub fn kill(&mut self, at: usize) {
     let mut member = self.members.remove(at);
     member.kill();
-    self.platform.machine(&member.name, None, Listed::Gone);
+    self
+      .platform
+      .machine(&member.name, None, MachineState::Gone);
   }
 
   /// Waits until every instance serves and sees all others.
--- a/stand-ins/src/platform.rs
+++ b/stand-ins/src/platform.rs
@@ -2,7 +2,7 @@
 //! and a list of machines that lags.
 
 use crate::http;
-use bendsaddle::{fact::Listed, ledger::Ledger, object::Kind, record::Record};
+use bendsaddle::{fact::MachineState, ledger::Ledger, object::Kind, record::Record};
 use serde_json::{Value, json};
 use std::{
   collections::BTreeMap,
@@ -38,7 +38,7 @@
     let Some((of, named, left)) = &mut self.lose_reads else {
       return false;
     };
-    let lost = *left > 0 && of.word() == kind && named == name;
+    let lost = *left > 0 && of.as_str() == kind && named == name;
     *left -= u32::from(lost);
     lost
   }
@@ -63,10 +63,10 @@
 #[derive(Clone, Debug)]
 struct Machine {
   peer: Option<String>,
-  state: Listed,
+  state: MachineState,
   /// When the list shows it.
   shown_at: Instant,
-  before: Option<Listed>,
+  before: Option<MachineState>,
 }
 
 #[derive(Clone, Debug, Default)]
@@ -143,7 +143,7 @@
   /// Writes an object past any check, as an operator's tool could.
   pub fn put(&self, kind: Kind, name: &str, value: Value) -> u64 {
     let mut inner = self.lock();
-    let version = inner.put(kind.word(), name, Some(value));
+    let version = inner.put(kind.as_str(), name, Some(value));
     self.inner.1.notify_all();
     version
   }
@@ -151,7 +151,7 @@
   /// Removes an object past any check.
   pub fn delete(&self, kind: Kind, name: &str) -> u64 {
     let mut inner = self.lock();
-    let version = inner.put(kind.word(), name, None);
+    let version = inner.put(kind.as_str(), name, None);
     self.inner.1.notify_all();
     version
   }
@@ -159,14 +159,14 @@
   /// Writes this value just before the next write of the object, as another
   /// operator could.
   pub fn race(&self, kind: Kind, name: &str, value: Value) {
-    let key = (kind.word().to_string(), name.to_string());
+    let key = (kind.as_str().to_string(), name.to_string());
     self.lock().races.insert(key, value);
   }
 
   /// An object's value.
   pub fn get(&self, kind: Kind, name: &str) -> Option<Value> {
     let inner = self.lock();
-    let key = (kind.word().to_string(), name.to_string());
+    let key = (kind.as_str().to_string(), name.to_string());
     inner.objects.held.get(&key)?.value.clone()
   }
 
@@ -185,7 +185,7 @@
   }
 
   /// Lists a machine, or changes its state; shown after the lag.
-  pub fn machine(&self, id: &str, peer: Option<String>, state: Listed) {
+  pub fn machine(&self, id: &str, peer: Option<String>, state: MachineState) {
     let mut inner = self.lock();
     let before = inner.machines.get(id).map(|machine| machine.state);
     let lag = if before.is_some() {
@@ -358,7 +358,7 @@
       Some(before) if machine.shown_at > now => before,
       _ => machine.state,
     };
-    if state != Listed::Gone {
+    if state != MachineState::Gone {
       entries.push(json!({ "id": id, "peer": machine.peer, "state": state }));
     }
   }
--- a/tests/batch.rs
+++ b/tests/batch.rs
@@ -201,7 +201,7 @@
     items: vec![Item::Cancelled],
     ..Batch::default()
   };
-  let name = Name::of(Kind::Batch, "old");
+  let name = Name::new(Kind::Batch, "old");
   let read = Event::Updated {
     tag: Tag::Batch { id: "old".into() },
     name: name.clone(),
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -28,7 +28,7 @@
   };
   let mut state = State::new(me, Limits::default(), 1, START);
   let object = |kind, name: &str, version, value: serde_json::Value| Object {
-    name: Name::of(kind, name),
+    name: Name::new(kind, name),
     version,
     value: Some(value.to_string()),
   };
--- a/tests/fuzz.rs
+++ b/tests/fuzz.rs
@@ -158,7 +158,7 @@
     let text = &text.0;
     drop(Settings::parse(text));
     for kind in Kind::CONFIGURED {
-      drop(Catalog::check(&Name::of(kind, "x"), Some(text)));
+      drop(Catalog::check(&Name::new(kind, "x"), Some(text)));
     }
     for kind in [
       Kind::ModelRecord,
@@ -179,7 +179,7 @@
 fn an_object_from_the_platform_is_taken_or_shown_as_rejected() {
   fn property(text: Text, version: u32) -> bool {
     let mut state = state();
-    let name = Name::of(Kind::Policy, "x");
+    let name = Name::new(Kind::Policy, "x");
     let version = u64::from(version) + 1;
     let object = Object {
       name: name.clone(),
--- a/tests/leaving.rs
+++ b/tests/leaving.rs
@@ -1,6 +1,6 @@
 //! Backend servers that leave, and planned stops of instances.
 
-use bendsaddle::fact::Listed;
+use bendsaddle::fact::MachineState;
 use serde_json::json;
 use stand_ins::{
   caller::{self, Ask},
@@ -50,7 +50,7 @@
   served(&fleet, 0, "before");
   let old = placed(&fleet);
   let name = fleet.engines[old].name().to_string();
-  fleet.platform.machine(&name, None, Listed::Leaving);
+  fleet.platform.machine(&name, None, MachineState::Leaving);
   wait_for("all to know", || all_know_it_leaves(&fleet, &name));
   let runs = fleet.engines[old].runs().len();
   for at in 0..6 {
@@ -73,7 +73,7 @@
     .unwrap();
   wait_for("two replicas", || fleet.loaded("contracts") == 2);
   let name = fleet.engines[0].name().to_string();
-  fleet.platform.machine(&name, None, Listed::Leaving);
+  fleet.platform.machine(&name, None, MachineState::Leaving);
   wait_for("all to know", || all_know_it_leaves(&fleet, &name));
   fleet.platform_proxy.fault(Fault::Refuse);
   // An instance that starts now learns it from its peers.
@@ -111,7 +111,7 @@
   let old = placed(&fleet);
   fleet
     .platform
-    .machine(fleet.engines[old].name(), None, Listed::Leaving);
+    .machine(fleet.engines[old].name(), None, MachineState::Leaving);
   let reply = request.join().unwrap();
   assert!(reply.is(&answer("moved", 5)), "{reply:?}");
   assert_eq!(fleet.engines[1 - old].runs().len(), 1);
@@ -241,7 +241,7 @@
     fleet.members[0].signal("-TERM");
     assert!(fleet.members[0].wait());
     let gone = fleet.members.remove(0);
-    fleet.platform.machine(&gone.name, None, Listed::Gone);
+    fleet.platform.machine(&gone.name, None, MachineState::Gone);
   }
   let (whole, others) = load.end();
   assert!(whole > 10);
--- a/tests/policies.rs
+++ b/tests/policies.rs
@@ -48,7 +48,7 @@
 fn catalog(policies: &[(&str, serde_json::Value)]) -> Catalog {
   let mut catalog = Catalog::default();
   for (name, value) in policies {
-    let name = Name::of(Kind::Policy, *name);
+    let name = Name::new(Kind::Policy, *name);
     catalog.put(&name, Some(&value.to_string())).unwrap();
   }
   catalog
@@ -110,7 +110,7 @@
 #[test]
 fn faulty_policies_are_told_field_and_value() {
   let fault = |value: serde_json::Value| {
-    let name = Name::of(Kind::Policy, "x");
+    let name = Name::new(Kind::Policy, "x");
     Catalog::check(&name, Some(&value.to_string())).unwrap_err()
   };
   assert!(fault(json!({ "maxReplicas": 1, "minReplicas": 2 })).contains("maxReplicas: `1`"));
@@ -121,7 +121,7 @@
   assert!(fault(json!({ "models": { "matchExpressions": form } })).contains("operator `In`"));
   let server = json!({ "address": "host:80", "zone": "a", "memoryMb": 1, "slots": 1,
     "fencing": true });
-  let name = Name::of(Kind::Server, "x");
+  let name = Name::new(Kind::Server, "x");
   let fault = Catalog::check(&name, Some(&server.to_string())).unwrap_err();
   assert!(
     fault.contains("address: `host:80` is not ip:port"),
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -6,7 +6,7 @@
   claim,
   effect::Effect,
   event::{Event, Listing},
-  fact::Listed,
+  fact::MachineState,
   ledger,
   object::{Kind, Name, Object},
   order::{self, Act, Order, Status},
@@ -107,7 +107,7 @@
   revision: u64,
   engines: BTreeMap<String, Engine>,
   pending: Vec<Pending>,
-  listed: BTreeMap<String, Listed>,
+  listed: BTreeMap<String, MachineState>,
   /// Times each request ran, and each key.
   ran: BTreeMap<(usize, u64, u64), u32>,
   ran_key: BTreeMap<u64, u32>,
@@ -144,7 +144,7 @@
 
 fn configuration(fenced: bool) -> Vec<Object> {
   let object = |kind, name: &str, version, value: serde_json::Value| Object {
-    name: Name::of(kind, name),
+    name: Name::new(kind, name),
     version,
     value: Some(value.to_string()),
   };
@@ -218,7 +218,9 @@
         alive: true,
         paused: false,
       });
-      world.listed.insert(format!("entry-{at}"), Listed::Live);
+      world
+        .listed
+        .insert(format!("entry-{at}"), MachineState::Live);
       world.give(at, Event::ConfigurationRead(configuration(fenced)));
     }
     world
@@ -695,7 +697,7 @@
       }
     }
     for (model, count) in loaded {
-      let name = Name::of(Kind::ModelRecord, model);
+      let name = Name::new(Kind::ModelRecord, model);
       let decided = match self.platform.get(&name) {
         Some((_, Value::Model(record))) => record.replicas.len(),
         _ => 0,
