--- a/src/batch.rs
+++ b/src/batch.rs
@@ -1,83 +1,83 @@
-//! Batches: work that may wait, kept in the platform until it has an outcome.
+//! Batches: prompts that may wait, stored in the platform until each has an outcome.
 
 use serde::{Deserialize, Serialize};
 
-/// Largest encoded batch, below the platform's limit of a megabyte.
+/// Maximum encoded size of a batch, below the platform's limit of one megabyte.
 pub const MAX_BATCH_BYTES: usize = 900_000;
 
-/// What became of one item.
+/// State of one item.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", tag = "state")]
 pub enum Item {
-  /// Not finished.
+  /// No outcome yet.
   Waiting,
-  /// Answered.
+  /// Completed with this text.
   Done { text: String },
-  /// Refused, with the reason.
+  /// Refused for this reason.
   Refused { reason: String },
   /// Cancelled by the caller.
   Cancelled,
 }
 
-/// A batch.
+/// A batch of prompts for one model.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Batch {
   pub model: String,
-  /// Time by which every item has its outcome, ms.
+  /// Time in ms by which every item has an outcome.
   pub deadline: u64,
   /// Hash of the caller.
   pub caller: u64,
   pub max_tokens: u32,
   pub prompts: Vec<String>,
-  /// One for each prompt; empty for a batch that was never submitted.
+  /// One item for each prompt; empty if the batch was never submitted.
   pub items: Vec<Item>,
 }
 
 /// A change of a batch.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
-  /// Submits it.
+  /// Submits the batch.
   Submit(Box<Batch>),
-  /// Records outcomes by position; an item keeps its first.
+  /// Records outcomes by item index; an item keeps its first outcome.
   Record(Vec<(usize, Item)>),
-  /// Cancels what waits.
+  /// Cancels the items that have no outcome yet.
   Cancel,
 }
 
 /// Why a change was not applied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rejection {
-  /// No such batch.
+  /// The batch does not exist.
   Missing,
-  /// Another batch has the id.
+  /// The id belongs to another batch.
   Taken,
 }
 
 impl Batch {
-  /// Whether every item has its outcome.
+  /// Whether every item has an outcome.
   pub fn finished(&self) -> bool {
     !self.items.contains(&Item::Waiting)
   }
 
-  /// Positions of items without outcome.
+  /// Indices of the items without an outcome.
   pub fn waiting(&self) -> Vec<usize> {
     let waiting = self.items.iter().enumerate();
     waiting
       .filter(|(_, item)| **item == Item::Waiting)
-      .map(|(at, _)| at)
+      .map(|(index, _)| index)
       .collect()
   }
 
-  /// Applies a change; true when the batch differs afterwards.
+  /// Applies a change and returns whether the batch changed.
   pub fn apply(&mut self, change: &Change) -> Result<bool, Rejection> {
     match change {
       Change::Submit(batch) => self.submit(batch),
       _ if self.prompts.is_empty() => Err(Rejection::Missing),
       Change::Record(outcomes) => Ok(self.record(outcomes)),
       Change::Cancel => {
-        let all: Vec<_> = self.waiting();
-        let outcomes = all.into_iter().map(|at| (at, Item::Cancelled));
+        let waiting: Vec<_> = self.waiting();
+        let outcomes = waiting.into_iter().map(|index| (index, Item::Cancelled));
         Ok(self.record(&outcomes.collect::<Vec<_>>()))
       }
     }
@@ -88,11 +88,11 @@
       *self = batch.clone();
       return Ok(true);
     }
-    // A repeat comes later, so its deadline differs; the first one's holds.
-    let same = self.model == batch.model
+    // A repeated submission has a later deadline; the deadline of the first one is kept.
+    let is_repeat = self.model == batch.model
       && self.prompts == batch.prompts
       && self.max_tokens == batch.max_tokens;
-    if same {
+    if is_repeat {
       Ok(false)
     } else {
       Err(Rejection::Taken)
@@ -101,8 +101,8 @@
 
   fn record(&mut self, outcomes: &[(usize, Item)]) -> bool {
     let mut changed = false;
-    for (at, outcome) in outcomes {
-      let Some(item) = self.items.get_mut(*at) else {
+    for (index, outcome) in outcomes {
+      let Some(item) = self.items.get_mut(*index) else {
         continue;
       };
       if *item == Item::Waiting {
--- a/src/batches.rs
+++ b/src/batches.rs
@@ -1,8 +1,8 @@
-//! Batches run by this instance.
+//! Execution of batches.
 //!
-//! A batch lives in the platform; whoever owns its id runs its items and
-//! records their outcomes, several to one update. Items may be run again after
-//! an owner is lost: an item keeps its first recorded outcome.
+//! A batch is stored in the platform. The owner of its id runs the items and records
+//! their outcomes, several in one update. Items may run again after an owner is lost;
+//! an item keeps its first recorded outcome.
 
 use crate::{
   batch::{Batch, Change, Item},
@@ -17,42 +17,42 @@
 };
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Items of one batch run at once.
-const WIDTH: usize = 4;
-/// Pause between two records of outcomes, ms.
-const RECORD_MS: u64 = 250;
-/// Pause before a platform call that failed is tried again, ms.
-const RETRY_MS: u64 = 1_000;
-/// Time after which an answer that has not come counts as lost, ms.
-const LOST_MS: u64 = 15_000;
-/// Pause before an item that was refused is tried again, ms.
-const ITEM_PAUSE_MS: u64 = 500;
-/// How many times the estimated run time is left before the deadline.
-const MARGIN: u64 = 3;
-/// How long after its deadline a finished batch can still be polled, ms.
-const KEEP_MS: u64 = 86_400_000;
-/// Estimated time of an item of a model never seen, ms.
-const ITEM_MS: u64 = 1_000;
+/// Maximum number of items of one batch that run concurrently.
+const MAX_CONCURRENT_ITEMS: usize = 4;
+/// Interval between two updates that record outcomes.
+const RECORD_INTERVAL_MS: u64 = 250;
+/// Delay before a failed platform call is retried.
+const RETRY_DELAY_MS: u64 = 1_000;
+/// Time after which a missing response is considered lost.
+const RESPONSE_TIMEOUT_MS: u64 = 15_000;
+/// Delay before a refused item is retried.
+const ITEM_RETRY_DELAY_MS: u64 = 500;
+/// Multiple of the estimated run time that is left before the deadline.
+const DEADLINE_MARGIN: u64 = 3;
+/// Time after its deadline for which a finished batch can still be polled.
+const RETENTION_MS: u64 = 86_400_000;
+/// Estimated run time of an item of a model without measurements.
+const DEFAULT_ITEM_MS: u64 = 1_000;
 
-/// A batch known to this instance.
+/// State of a batch that this instance knows.
 #[derive(Clone, Debug, Default)]
 struct Entry {
   finished: bool,
-  /// The batch, once read by its owner.
+  /// The batch; `None` until its owner has read it.
   batch: Option<Batch>,
   running: BTreeSet<usize>,
-  /// Outcomes not yet recorded.
+  /// Outcomes that are not recorded yet.
   outcomes: BTreeMap<usize, Item>,
-  /// Outcomes in the update on its way.
+  /// Outcomes in the pending update.
   writing: BTreeMap<usize, Item>,
-  /// Time of the next platform call, ms.
-  next_at: u64,
-  /// A platform call is on its way since this time, ms.
-  asked_at: Option<u64>,
-  /// No item is started before this time, ms.
-  pause_until: u64,
-  /// As last read by its owner: version, and the time after which it is removed.
-  kept: Option<(u64, u64)>,
+  /// Time in ms of the next platform call.
+  next_call_at: u64,
+  /// Time in ms at which the pending platform call started; `None` if no call is pending.
+  call_started_at: Option<u64>,
+  /// Time in ms before which no item is started.
+  paused_until: u64,
+  /// Version last read by the owner, and the time in ms at which the batch is removed.
+  retention: Option<(u64, u64)>,
 }
 
 /// Batches by id.
@@ -62,7 +62,7 @@
 }
 
 impl Batches {
-  /// Whether no outcome waits to be recorded.
+  /// Whether no item runs and no outcome is left to be recorded.
   pub fn is_idle(&self) -> bool {
     self.entries.values().all(|entry| {
       entry.running.is_empty() && entry.outcomes.is_empty() && entry.writing.is_empty()
@@ -75,7 +75,7 @@
 }
 
 impl State {
-  /// A caller submits, polls or cancels a batch.
+  /// Submits, polls or cancels a batch for a caller.
   pub fn on_batch_requested(&mut self, ticket: Ticket, id: String, change: Option<Change>) {
     self.emit(Effect::Update {
       tag: Tag::Caller { ticket },
@@ -85,22 +85,22 @@
     });
   }
 
-  /// Answers a caller's batch call.
+  /// Responds to a caller's batch call.
   pub fn on_caller_updated(&mut self, ticket: Ticket, name: &Name, outcome: Outcome) {
     if let Outcome::Applied(stored) | Outcome::Rejected(_, stored) = &outcome
       && let Value::Batch(batch) = &stored.value
       && !batch.prompts.is_empty()
     {
-      self.tell_batch(&name.name, stored.version, batch);
+      self.publish_batch(&name.name, stored.version, batch);
     }
     self.emit(Effect::BatchAnswer { ticket, outcome });
   }
 
-  fn tell_batch(&mut self, id: &str, version: u64, batch: &Batch) {
+  fn publish_batch(&mut self, id: &str, version: u64, batch: &Batch) {
     let finished = batch.finished();
     let key = Key::Batch(id.into());
-    let held = self.facts.get(&key).map(|(body, _)| body.clone());
-    if held != Some(Body::Batch { finished }) {
+    let published = self.facts.get(&key).map(|(body, _)| body.clone());
+    if published != Some(Body::Batch { finished }) {
       self.publish(key, Version(version, 0), Body::Batch { finished });
     }
     if let Some(entry) = self.batches.entries.get_mut(id)
@@ -110,7 +110,7 @@
     }
   }
 
-  /// A batch became known.
+  /// Records that a batch exists and whether it is finished.
   pub fn learn_batch(&mut self, id: &str, finished: bool) {
     let entry = self.batches.entries.entry(id.into()).or_default();
     entry.finished = finished;
@@ -119,57 +119,57 @@
     }
   }
 
-  /// Takes up the platform's list of batches: finished ones that are no longer
-  /// listed were removed.
+  /// Processes the platform's list of batches; finished batches that are no longer listed
+  /// were removed.
   pub fn on_batches_listed(&mut self, listed: Vec<(String, u64)>) {
     let names: BTreeSet<&String> = listed.iter().map(|(id, _)| id).collect();
-    let kept = |id: &String, entry: &Entry| !entry.finished || names.contains(id);
-    self.batches.entries.retain(|id, entry| kept(id, entry));
+    let is_kept = |id: &String, entry: &Entry| !entry.finished || names.contains(id);
+    self.batches.entries.retain(|id, entry| is_kept(id, entry));
     for (id, _) in listed {
-      let mine = self.owns(&owner_key(&id));
+      let is_owner = self.owns(&owner_key(&id));
       let entry = self.batches.entries.entry(id).or_default();
-      if mine && entry.kept.is_none() {
-        // Its owner reads it once, to know when it may be removed.
+      if is_owner && entry.retention.is_none() {
+        // The owner reads the batch once, to learn when it may be removed.
         entry.finished = false;
       }
     }
   }
 
-  /// Brings the batches of this instance further.
+  /// Reads and runs the batches of this instance and records outcomes.
   pub fn run_batches(&mut self) {
-    let open: Vec<String> = self
+    let unfinished: Vec<String> = self
       .batches
       .entries
       .iter()
       .filter(|(_, entry)| !entry.finished || !entry.outcomes.is_empty())
       .map(|(id, _)| id.clone())
       .collect();
-    self.remove_old();
-    for id in open {
-      let mine = self.owns(&owner_key(&id)) && !self.stopping;
+    self.remove_expired();
+    for id in unfinished {
+      let is_owner = self.owns(&owner_key(&id)) && !self.stopping;
       self.record_items(&id);
-      if mine {
+      if is_owner {
         self.read_batch(&id);
         self.start_items(&id);
       } else {
-        self.disown(&id);
+        self.release_batch(&id);
       }
     }
   }
 
-  /// Removes finished batches of this instance that nobody polls any more.
-  fn remove_old(&mut self) {
+  /// Removes finished batches of this instance that can no longer be polled.
+  fn remove_expired(&mut self) {
     let now = self.now;
-    let old: Vec<(String, u64)> = self
+    let expired: Vec<(String, u64)> = self
       .batches
       .entries
       .iter()
       .filter(|(_, entry)| entry.finished && entry.outcomes.is_empty())
-      .filter_map(|(id, entry)| Some((id.clone(), entry.kept?)))
+      .filter_map(|(id, entry)| Some((id.clone(), entry.retention?)))
       .filter(|(_, (_, until))| *until <= now)
       .map(|(id, (version, _))| (id, version))
       .collect();
-    for (id, version) in old {
+    for (id, version) in expired {
       self.batches.entries.remove(&id);
       self.emit(Effect::Remove {
         name: Name::new(Kind::Batch, id),
@@ -178,7 +178,7 @@
     }
   }
 
-  fn disown(&mut self, id: &str) {
+  fn release_batch(&mut self, id: &str) {
     if let Some(entry) = self.batches.entries.get_mut(id)
       && entry.running.is_empty()
       && entry.outcomes.is_empty()
@@ -192,7 +192,7 @@
     let Some(entry) = self.batches.entries.get_mut(id) else {
       return;
     };
-    if entry.batch.is_some() || !ask(entry, now) {
+    if entry.batch.is_some() || !try_start_call(entry, now) {
       return;
     }
     self.update_batch(id, None);
@@ -212,7 +212,7 @@
     let Some(entry) = self.batches.entries.get_mut(id) else {
       return;
     };
-    if entry.outcomes.is_empty() || !ask(entry, now) {
+    if entry.outcomes.is_empty() || !try_start_call(entry, now) {
       return;
     }
     entry.writing.append(&mut entry.outcomes);
@@ -220,17 +220,17 @@
     self.update_batch(id, Some(Change::Record(outcomes)));
   }
 
-  /// Takes up the end of a batch's read or record.
+  /// Processes the outcome of a read or update of a batch.
   pub fn on_batch_updated(&mut self, id: &str, outcome: Outcome) {
     let now = self.now;
     let Some(entry) = self.batches.entries.get_mut(id) else {
       return;
     };
-    entry.asked_at = None;
+    entry.call_started_at = None;
     match outcome {
       Outcome::Unavailable => {
         entry.outcomes.append(&mut entry.writing);
-        entry.next_at = now + RETRY_MS;
+        entry.next_call_at = now + RETRY_DELAY_MS;
       }
       Outcome::Rejected(..) => {
         entry.finished = true;
@@ -238,7 +238,7 @@
       }
       Outcome::Applied(stored) => {
         entry.writing.clear();
-        entry.next_at = now + RECORD_MS;
+        entry.next_call_at = now + RECORD_INTERVAL_MS;
         let Value::Batch(batch) = stored.value else {
           return;
         };
@@ -246,10 +246,10 @@
           entry.finished = true;
           return;
         }
-        entry.kept = Some((stored.version, batch.deadline + KEEP_MS));
+        entry.retention = Some((stored.version, batch.deadline + RETENTION_MS));
         entry.finished = batch.finished();
         entry.batch = (!entry.finished).then(|| batch.clone());
-        self.tell_batch(id, stored.version, &batch);
+        self.publish_batch(id, stored.version, &batch);
       }
     }
   }
@@ -261,19 +261,21 @@
     let Some(batch) = entry.batch.clone() else {
       return;
     };
-    let open: Vec<usize> = batch
+    let startable: Vec<usize> = batch
       .waiting()
       .into_iter()
-      .filter(|at| !entry.running.contains(at) && !entry.outcomes.contains_key(at))
-      .filter(|at| !entry.writing.contains_key(at))
+      .filter(|item_index| {
+        !entry.running.contains(item_index) && !entry.outcomes.contains_key(item_index)
+      })
+      .filter(|item_index| !entry.writing.contains_key(item_index))
       .collect();
-    let room = WIDTH.saturating_sub(entry.running.len());
-    let paused = entry.pause_until > self.now;
+    let free_slots = MAX_CONCURRENT_ITEMS.saturating_sub(entry.running.len());
+    let paused = entry.paused_until > self.now;
     if self.now >= batch.deadline {
       let reason = "deadline".to_string();
-      let refused = open.into_iter().map(|at| {
+      let refused = startable.into_iter().map(|item_index| {
         let reason = reason.clone();
-        (at, Item::Refused { reason })
+        (item_index, Item::Refused { reason })
       });
       self.end_items(id, refused.collect());
       return;
@@ -284,46 +286,47 @@
     if paused {
       return;
     }
-    for at in open.into_iter().take(room) {
-      self.start_item(id, at, class, &batch);
+    for item_index in startable.into_iter().take(free_slots) {
+      self.start_item(id, item_index, class, &batch);
     }
   }
 
-  /// Whether items may run now, and how urgently: in quiet moments of a loaded
-  /// model, or when the deadline leaves no more time to wait for one.
+  /// Class with which items may run now, or `None` if they must wait. Items run as batch
+  /// requests while a replica is ready and no interactive request waits, and as
+  /// interactive requests once the deadline leaves no time to wait for that.
   fn batch_class(&mut self, batch: &Batch) -> Option<Class> {
     let spec = self.catalog.models.get(&batch.model)?;
     let policy = self.effective_policy(spec, batch.caller);
     let key = self.group(&batch.model, &policy);
-    if self.now + self.batch_estimate(key, batch) * MARGIN >= batch.deadline {
+    if self.now + self.batch_estimate(key, batch) * DEADLINE_MARGIN >= batch.deadline {
       return Some(Class::Interactive);
     }
     let mut waiting = self.groups[key].queue.iter();
-    let quiet = !waiting.any(|(class, ..)| *class == Class::Interactive);
-    (quiet && self.has_ready(key)).then_some(Class::Batch)
+    let is_quiet = !waiting.any(|(class, ..)| *class == Class::Interactive);
+    (is_quiet && self.has_ready(key)).then_some(Class::Batch)
   }
 
   fn batch_estimate(&self, key: group::Key, batch: &Batch) -> u64 {
     let group = &self.groups[key];
     let item = match group.service_ms {
-      0 => ITEM_MS,
-      known => known,
+      0 => DEFAULT_ITEM_MS,
+      measured => measured,
     };
-    let rounds = batch.waiting().len().div_ceil(WIDTH) as u64;
+    let rounds = batch.waiting().len().div_ceil(MAX_CONCURRENT_ITEMS) as u64;
     let load = self.load_estimate(&batch.model, crate::report::Tier::Remote);
     group.cold_ms.max(load) + rounds * item
   }
 
-  fn start_item(&mut self, id: &str, at: usize, class: Class, batch: &Batch) {
-    let Some(prompt) = batch.prompts.get(at).cloned() else {
+  fn start_item(&mut self, id: &str, item_index: usize, class: Class, batch: &Batch) {
+    let Some(prompt) = batch.prompts.get(item_index).cloned() else {
       return;
     };
     if let Some(entry) = self.batches.entries.get_mut(id) {
-      entry.running.insert(at);
+      entry.running.insert(item_index);
     }
     self.emit(Effect::RunItem {
       id: id.into(),
-      index: at,
+      index: item_index,
       class,
       model: batch.model.clone(),
       prompt,
@@ -333,17 +336,17 @@
     });
   }
 
-  /// Takes up the end of an item. `Waiting`: it is to be tried again.
-  pub fn on_item_ended(&mut self, id: &str, at: usize, item: Item) {
-    let pause = self.now + ITEM_PAUSE_MS;
+  /// Processes the end of an item; `Item::Waiting` means that it is retried.
+  pub fn on_item_ended(&mut self, id: &str, item_index: usize, item: Item) {
+    let paused_until = self.now + ITEM_RETRY_DELAY_MS;
     let Some(entry) = self.batches.entries.get_mut(id) else {
       return;
     };
-    entry.running.remove(&at);
+    entry.running.remove(&item_index);
     if item == Item::Waiting {
-      entry.pause_until = pause;
+      entry.paused_until = paused_until;
     } else {
-      self.end_items(id, vec![(at, item)]);
+      self.end_items(id, vec![(item_index, item)]);
     }
   }
 
@@ -354,17 +357,19 @@
   }
 }
 
-/// Whether a platform call may be made now; marks it as made.
-fn ask(entry: &mut Entry, now: u64) -> bool {
-  let busy = entry.asked_at.is_some_and(|at| at + LOST_MS > now);
-  if busy || entry.next_at > now {
+/// Returns whether a platform call may start now, and marks it as started if so.
+fn try_start_call(entry: &mut Entry, now: u64) -> bool {
+  let is_pending = entry
+    .call_started_at
+    .is_some_and(|started_at| started_at + RESPONSE_TIMEOUT_MS > now);
+  if is_pending || entry.next_call_at > now {
     return false;
   }
-  if entry.asked_at.is_some() {
-    // The answer was lost: what it would have recorded is recorded again.
-    let mut again = std::mem::take(&mut entry.writing);
-    entry.outcomes.append(&mut again);
+  if entry.call_started_at.is_some() {
+    // The response was lost, so the outcomes of that update are recorded again.
+    let mut unrecorded = std::mem::take(&mut entry.writing);
+    entry.outcomes.append(&mut unrecorded);
   }
-  entry.asked_at = Some(now);
+  entry.call_started_at = Some(now);
   true
 }
--- a/src/claims.rs
+++ b/src/claims.rs
@@ -1,9 +1,9 @@
-//! Claims on their way: grouped by shard, through the shard's owner.
+//! Pending claims, grouped by shard and sent through the shard's owner.
 //!
-//! While one group of a shard is being written, later claims gather for the
-//! next, so one conditional update carries all that arrived during the one
-//! before. The owner is asked first only to make the groups larger; when it
-//! cannot be reached an instance writes for itself.
+//! While one group of a shard is being written, later claims are queued for the next
+//! group, so one conditional update carries all that arrived during the previous one.
+//! Claims go through the owner only to make the groups larger; if it cannot be reached,
+//! an instance writes its claims directly.
 
 use crate::{
   attempt::End,
@@ -20,25 +20,25 @@
 };
 use std::collections::BTreeMap;
 
-/// Most items in one group.
-const GROUP: usize = 512;
-/// Time for which an owner that did not answer is passed over, ms.
-const BYPASS_MS: u64 = 2_000;
-/// Time after which a group that has no outcome counts as lost, ms.
-const LOST_MS: u64 = 15_000;
-/// Pause before an outcome that could not be recorded is tried again, ms.
-const RETRY_MS: u64 = 1_000;
-/// Time after which the caller of a running call may ask again, ms.
+/// Maximum number of changes in one group.
+const MAX_GROUP_SIZE: usize = 512;
+/// Time for which an owner that did not respond is bypassed.
+const OWNER_BYPASS_MS: u64 = 2_000;
+/// Time after which a group without an outcome is considered lost.
+const GROUP_TIMEOUT_MS: u64 = 15_000;
+/// Minimum delay before an outcome that could not be recorded is retried.
+const RETRY_DELAY_MS: u64 = 1_000;
+/// Retry-after time for the caller of a call that is still running.
 const RETRY_AFTER_MS: u64 = 1_000;
-/// Outcomes kept for a later try.
-const DEFERRED: usize = 4_096;
+/// Maximum number of changes kept for a later retry.
+const MAX_DEFERRED: usize = 4_096;
 
-/// Who waits for an item's outcome.
+/// Who waits for the outcome of a change.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum Origin {
-  /// A request of this instance.
+  /// A request at this instance.
   Request(Ticket),
-  /// Nobody; the outcome is to be recorded all the same.
+  /// No one, but the change must still be recorded.
   Nobody,
   /// Another instance.
   Peer(Call),
@@ -51,38 +51,38 @@
 }
 
 #[derive(Clone, Debug)]
-struct Flight {
+struct InFlight {
   group: u64,
   items: Vec<Pending>,
-  since: u64,
+  sent_at: u64,
 }
 
 #[derive(Clone, Debug, Default)]
-struct Desk {
-  queue: Vec<Pending>,
-  flight: Option<Flight>,
-  bypass_until: u64,
-  /// Time of the next write, ms.
-  next_at: u64,
+struct ShardQueue {
+  pending: Vec<Pending>,
+  in_flight: Option<InFlight>,
+  bypass_owner_until: u64,
+  /// Time in ms before which this instance does not write the shard again.
+  next_write_at: u64,
 }
 
-/// Claims on their way, by shard.
+/// Pending claims, by shard.
 #[derive(Clone, Debug, Default)]
 pub struct Claims {
-  desks: BTreeMap<u32, Desk>,
-  next: u64,
-  /// Changes nobody waits for, with the time of their next try.
+  queues: BTreeMap<u32, ShardQueue>,
+  last_group: u64,
+  /// Retry time in ms, shard and change, for changes that no one waits for.
   deferred: Vec<(u64, u32, Change)>,
 }
 
 impl Claims {
-  /// Whether anything is still to be recorded.
+  /// Whether nothing is left to be recorded.
   pub fn is_idle(&self) -> bool {
     self.deferred.is_empty()
       && self
-        .desks
+        .queues
         .values()
-        .all(|desk| desk.queue.is_empty() && desk.flight.is_none())
+        .all(|queue| queue.pending.is_empty() && queue.in_flight.is_none())
   }
 }
 
@@ -95,22 +95,22 @@
     format!("{}/{}", self.orderer(), ticket.0)
   }
 
-  /// Claims the key of a call before it goes out.
+  /// Claims the key of a call before the call is sent.
   pub fn claim(&mut self, ticket: Ticket, key: u64) {
     let expires = self.now + self.limits.claim_ms;
     let act = Act::Take { expires };
-    self.queue_claim(ticket, key, act, Origin::Request(ticket));
+    self.enqueue_change(ticket, key, act, Origin::Request(ticket));
   }
 
-  fn queue_claim(&mut self, ticket: Ticket, key: u64, act: Act, origin: Origin) {
+  fn enqueue_change(&mut self, ticket: Ticket, key: u64, act: Act, origin: Origin) {
     let change = Change {
       key,
       token: self.token(ticket),
       act,
     };
     let shard = self.shard(key);
-    let desk = self.claims.desks.entry(shard).or_default();
-    desk.queue.push(Pending { change, origin });
+    let queue = self.claims.queues.entry(shard).or_default();
+    queue.pending.push(Pending { change, origin });
     self.flush_claims(shard);
   }
 
@@ -134,41 +134,41 @@
         progress: Progress::Unknown,
       },
     };
-    self.queue_claim(ticket, key, act, Origin::Nobody);
+    self.enqueue_change(ticket, key, act, Origin::Nobody);
   }
 
-  /// Writes or forwards what has gathered for a shard.
+  /// Writes the queued changes of a shard or forwards them to its owner.
   fn flush_claims(&mut self, shard: u32) {
     let owner = self.members.owner(&format!("claims/{shard}"));
     let owner = owner.filter(|owner| *owner != self.me.instance);
     let address = owner.and_then(|owner| self.peer_address(owner));
     let now = self.now;
-    let gather = self.limits.claim_gather_ms;
-    let Some(desk) = self.claims.desks.get_mut(&shard) else {
+    let batching_ms = self.limits.claim_gather_ms;
+    let Some(queue) = self.claims.queues.get_mut(&shard) else {
       return;
     };
-    if desk.flight.is_some() || desk.queue.is_empty() {
+    if queue.in_flight.is_some() || queue.pending.is_empty() {
       return;
     }
-    let for_peer = |item: &Pending| matches!(item.origin, Origin::Peer(_));
-    let bypass = desk.bypass_until > now || desk.queue.iter().any(for_peer);
-    let address = address.filter(|_| !bypass);
+    let is_from_peer = |item: &Pending| matches!(item.origin, Origin::Peer(_));
+    let bypass_owner = queue.bypass_owner_until > now || queue.pending.iter().any(is_from_peer);
+    let address = address.filter(|_| !bypass_owner);
     if address.is_none() {
-      // A busy shard gathers; a quiet one is written at once.
-      if desk.next_at > now {
+      // Changes of a busy shard are batched; an idle shard is written at once.
+      if queue.next_write_at > now {
         return;
       }
-      desk.next_at = now + gather;
+      queue.next_write_at = now + batching_ms;
     }
-    let count = desk.queue.len().min(GROUP);
-    let items: Vec<Pending> = desk.queue.drain(..count).collect();
+    let count = queue.pending.len().min(MAX_GROUP_SIZE);
+    let items: Vec<Pending> = queue.pending.drain(..count).collect();
     let changes: Vec<Change> = items.iter().map(|item| item.change.clone()).collect();
-    self.claims.next += 1;
-    let group = self.claims.next;
-    desk.flight = Some(Flight {
+    self.claims.last_group += 1;
+    let group = self.claims.last_group;
+    queue.in_flight = Some(InFlight {
       group,
       items,
-      since: now,
+      sent_at: now,
     });
     match address {
       Some(address) => self.emit(Effect::Claim {
@@ -191,7 +191,7 @@
     }
   }
 
-  /// Takes up another instance's claims.
+  /// Queues the claim changes of another instance.
   pub fn on_claims_requested(&mut self, call: Call, shard: u32, changes: Vec<Change>) {
     if changes.is_empty() || shard >= self.limits.claim_shards {
       self.emit(Effect::ClaimAnswer {
@@ -200,26 +200,26 @@
       });
       return;
     }
-    let desk = self.claims.desks.entry(shard).or_default();
+    let queue = self.claims.queues.entry(shard).or_default();
     let items = changes.into_iter().map(|change| Pending {
       change,
       origin: Origin::Peer(call),
     });
-    desk.queue.extend(items);
+    queue.pending.extend(items);
     self.flush_claims(shard);
   }
 
-  fn landed(&mut self, shard: u32, group: u64) -> Option<Vec<Pending>> {
-    let desk = self.claims.desks.get_mut(&shard)?;
-    let current = desk.flight.as_ref()?.group == group;
-    current
-      .then(|| desk.flight.take())?
-      .map(|flight| flight.items)
+  fn take_group(&mut self, shard: u32, group: u64) -> Option<Vec<Pending>> {
+    let queue = self.claims.queues.get_mut(&shard)?;
+    let is_current = queue.in_flight.as_ref()?.group == group;
+    is_current
+      .then(|| queue.in_flight.take())?
+      .map(|in_flight| in_flight.items)
   }
 
-  /// Takes up the end of a shard's update.
+  /// Processes the outcome of an update of a shard.
   pub fn on_claims_updated(&mut self, shard: u32, group: u64, outcome: &update::Outcome) {
-    let Some(items) = self.landed(shard, group) else {
+    let Some(items) = self.take_group(shard, group) else {
       return;
     };
     let value = match outcome {
@@ -233,33 +233,33 @@
         _ => Outcome::Unavailable,
       })
       .collect();
-    self.claims_ended(shard, items, outcomes);
+    self.finish_group(shard, items, outcomes);
   }
 
-  /// Takes up the owner's answer; without one this instance writes for itself.
+  /// Processes the owner's response; without one, this instance writes the changes directly.
   pub fn on_claim_answered(&mut self, shard: u32, group: u64, outcomes: Option<Vec<Outcome>>) {
-    let Some(items) = self.landed(shard, group) else {
+    let Some(items) = self.take_group(shard, group) else {
       return;
     };
     match outcomes.filter(|outcomes| outcomes.len() == items.len()) {
-      Some(outcomes) => self.claims_ended(shard, items, outcomes),
+      Some(outcomes) => self.finish_group(shard, items, outcomes),
       None => {
-        let until = self.now + BYPASS_MS;
-        if let Some(desk) = self.claims.desks.get_mut(&shard) {
-          desk.bypass_until = until;
-          desk.queue.splice(..0, items);
+        let until = self.now + OWNER_BYPASS_MS;
+        if let Some(queue) = self.claims.queues.get_mut(&shard) {
+          queue.bypass_owner_until = until;
+          queue.pending.splice(..0, items);
         }
         self.flush_claims(shard);
       }
     }
   }
 
-  fn claims_ended(&mut self, shard: u32, items: Vec<Pending>, outcomes: Vec<Outcome>) {
+  fn finish_group(&mut self, shard: u32, items: Vec<Pending>, outcomes: Vec<Outcome>) {
     let mut answers: BTreeMap<Call, Vec<Outcome>> = BTreeMap::new();
     for (item, outcome) in items.into_iter().zip(outcomes) {
       match item.origin {
         Origin::Peer(call) => answers.entry(call).or_default().push(outcome),
-        Origin::Request(ticket) => self.claim_ended(ticket, shard, item.change, outcome),
+        Origin::Request(ticket) => self.finish_claim(ticket, shard, item.change, outcome),
         Origin::Nobody if outcome == Outcome::Unavailable => self.defer(shard, item.change),
         Origin::Nobody => {}
       }
@@ -270,11 +270,11 @@
     self.flush_claims(shard);
   }
 
-  fn claim_ended(&mut self, ticket: Ticket, shard: u32, change: Change, outcome: Outcome) {
-    let waiting = self.requests.get(&ticket);
-    let timely = waiting.is_some_and(|request| request.descriptor.deadline > self.now);
+  fn finish_claim(&mut self, ticket: Ticket, shard: u32, change: Change, outcome: Outcome) {
+    let request = self.requests.get(&ticket);
+    let in_time = request.is_some_and(|request| request.descriptor.deadline > self.now);
     match outcome {
-      Outcome::Granted if timely => self.call_service(ticket),
+      Outcome::Granted if in_time => self.call_service(ticket),
       Outcome::Granted | Outcome::Unavailable => {
         let free = Change {
           act: Act::Free,
@@ -300,57 +300,57 @@
     }
   }
 
-  /// The key is another call's, which may have run.
+  /// Refuses a request whose key is held by another call, which may have run.
   fn refuse_held(&mut self, ticket: Ticket, progress: &Progress) {
     if let Some(request) = self.requests.get_mut(&ticket) {
       request.verdict = Verdict::MayHaveRun;
     }
-    let wait = match progress {
+    let retry_after_ms = match progress {
       Progress::Taken => RETRY_AFTER_MS,
       _ => 0,
     };
-    self.refuse(ticket, Reason::Claimed, wait);
+    self.refuse(ticket, Reason::Claimed, retry_after_ms);
   }
 
   fn defer(&mut self, shard: u32, change: Change) {
-    if self.claims.deferred.len() < DEFERRED {
-      let at = self.now + RETRY_MS + self.random(RETRY_MS);
+    if self.claims.deferred.len() < MAX_DEFERRED {
+      let at = self.now + RETRY_DELAY_MS + self.random(RETRY_DELAY_MS);
       self.claims.deferred.push((at, shard, change));
     }
   }
 
-  /// Tries deferred changes again and gives up groups that were lost.
+  /// Retries deferred changes and abandons groups that were lost.
   pub fn retry_claims(&mut self) {
     let now = self.now;
     let deferred = std::mem::take(&mut self.claims.deferred);
     let (due, later): (Vec<_>, Vec<_>) = deferred.into_iter().partition(|(at, ..)| *at <= now);
     self.claims.deferred = later;
     for (_, shard, change) in due {
-      let desk = self.claims.desks.entry(shard).or_default();
-      desk.queue.push(Pending {
+      let queue = self.claims.queues.entry(shard).or_default();
+      queue.pending.push(Pending {
         change,
         origin: Origin::Nobody,
       });
     }
     let lost: Vec<(u32, u64)> = self
       .claims
-      .desks
+      .queues
       .iter()
-      .filter_map(|(shard, desk)| Some((*shard, desk.flight.as_ref()?)))
-      .filter(|(_, flight)| flight.since + LOST_MS < now)
-      .map(|(shard, flight)| (shard, flight.group))
+      .filter_map(|(shard, queue)| Some((*shard, queue.in_flight.as_ref()?)))
+      .filter(|(_, in_flight)| in_flight.sent_at + GROUP_TIMEOUT_MS < now)
+      .map(|(shard, in_flight)| (shard, in_flight.group))
       .collect();
     for (shard, group) in lost {
       self.on_claims_updated(shard, group, &update::Outcome::Unavailable);
     }
   }
 
-  /// Writes what has gathered long enough.
+  /// Flushes the shards that have queued changes and no group in flight.
   pub fn flush_due_claims(&mut self) {
-    let due = |desk: &Desk| !desk.queue.is_empty() && desk.flight.is_none();
-    let desks = self.claims.desks.iter();
-    let due: Vec<u32> = desks
-      .filter(|(_, desk)| due(desk))
+    let due = |queue: &ShardQueue| !queue.pending.is_empty() && queue.in_flight.is_none();
+    let queues = self.claims.queues.iter();
+    let due: Vec<u32> = queues
+      .filter(|(_, queue)| due(queue))
       .map(|(shard, _)| *shard)
       .collect();
     for shard in due {
