--- a/src/catalog.rs
+++ b/src/catalog.rs
@@ -1,4 +1,4 @@
-//! The configuration in force: objects that operators edit, checked.
+//! The active configuration: validated objects that operators edit.
 
 use crate::{
   object::{Kind, Name},
@@ -11,15 +11,15 @@
   sync::Arc,
 };
 
-/// A model, or an adapter when it names a base.
+/// A model, or an adapter if `base` is set.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "camelCase")]
 pub struct Model {
   #[serde(default)]
   pub labels: Arc<Labels>,
-  /// Memory of one replica on a backend server, in MB.
+  /// Memory in MB of one replica on a backend server.
   pub memory_mb: u64,
-  /// The model this adapter extends.
+  /// The model that this adapter extends.
   #[serde(default)]
   pub base: Option<String>,
 }
@@ -30,13 +30,13 @@
 pub struct Server {
   #[serde(default)]
   pub labels: Labels,
-  /// Address of the engine, `ip:port`.
+  /// Address of the engine, as `ip:port`.
   pub address: String,
   pub zone: String,
   pub memory_mb: u64,
-  /// Requests one replica runs at once.
+  /// Number of requests that one replica runs concurrently.
   pub slots: u32,
-  /// Whether the engine refuses an order with an old fencing number.
+  /// Whether the engine refuses orders with an old fencing token.
   pub fencing: bool,
 }
 
@@ -46,39 +46,39 @@
 pub struct Service {
   #[serde(default)]
   pub labels: Labels,
-  /// Addresses of its runners, `ip:port`.
+  /// Addresses of the servers that run the service, as `ip:port`.
   pub addresses: Vec<String>,
   /// Paths whose calls may be repeated; all other calls run at most once.
   #[serde(default)]
   pub repeatable: Vec<String>,
 }
 
-/// Checked configuration by name.
+/// Validated configuration objects, by name.
 #[derive(Clone, Debug, Default)]
 pub struct Catalog {
   pub models: BTreeMap<String, Model>,
   pub servers: BTreeMap<String, Server>,
   pub services: BTreeMap<String, Service>,
   pub policies: BTreeMap<String, Policy>,
-  /// Labels of models, each once.
+  /// Distinct label sets of models.
   labels: HashSet<Arc<Labels>>,
 }
 
-/// Name of the built-in policy of models that no policy object selects.
+/// Name of the built-in policy for models that no policy object selects.
 pub const DEFAULT_POLICY: &str = "default";
 
 fn decode<T: DeserializeOwned>(name: &Name, text: &str) -> Result<T, String> {
   serde_json::from_str(text).map_err(|error| format!("{name}: {error}"))
 }
 
-fn address(name: &Name, field: &str, value: &str) -> Result<(), String> {
+fn check_address(name: &Name, field: &str, value: &str) -> Result<(), String> {
   value
     .parse::<std::net::SocketAddr>()
     .map(|_| ())
     .map_err(|_| format!("{name}: {field}: `{value}` is not ip:port"))
 }
 
-fn positive(name: &Name, field: &str, value: u64) -> Result<(), String> {
+fn check_positive(name: &Name, field: &str, value: u64) -> Result<(), String> {
   if value == 0 {
     return Err(format!("{name}: {field}: `0` is not positive"));
   }
@@ -86,12 +86,13 @@
 }
 
 impl Catalog {
-  /// Checks one object by itself.
+  /// Validates one object on its own.
   pub fn check(name: &Name, value: Option<&str>) -> Result<(), String> {
     Self::default().put(name, value)
   }
 
-  /// Puts one object in force; an object that fails its check changes nothing.
+  /// Applies one object, or removes it if `value` is `None`. An invalid object changes
+  /// nothing.
   pub fn put(&mut self, name: &Name, value: Option<&str>) -> Result<(), String> {
     match value {
       None => self.remove(name),
@@ -115,28 +116,28 @@
     match name.kind {
       Kind::Model => {
         let mut model: Model = decode(name, text)?;
-        positive(name, "memoryMb", model.memory_mb)?;
-        model.labels = self.shared(model.labels);
+        check_positive(name, "memoryMb", model.memory_mb)?;
+        model.labels = self.intern_labels(model.labels);
         self.models.insert(key, model);
       }
       Kind::Server => {
         let server: Server = decode(name, text)?;
-        address(name, "address", &server.address)?;
-        positive(name, "memoryMb", server.memory_mb)?;
-        positive(name, "slots", server.slots.into())?;
+        check_address(name, "address", &server.address)?;
+        check_positive(name, "memoryMb", server.memory_mb)?;
+        check_positive(name, "slots", server.slots.into())?;
         self.servers.insert(key, server);
       }
       Kind::Service => {
         let service: Service = decode(name, text)?;
         for value in &service.addresses {
-          address(name, "addresses", value)?;
+          check_address(name, "addresses", value)?;
         }
         self.services.insert(key, service);
       }
       Kind::Policy => {
         let policy: Policy = decode(name, text)?;
-        if let Some(fault) = policy.validation_error() {
-          return Err(format!("{name}: {fault}"));
+        if let Some(error) = policy.validation_error() {
+          return Err(format!("{name}: {error}"));
         }
         self.policies.insert(key, policy);
       }
@@ -150,26 +151,26 @@
     Ok(())
   }
 
-  /// The one copy of these labels: many models carry the same.
-  fn shared(&mut self, labels: Arc<Labels>) -> Arc<Labels> {
-    if let Some(held) = self.labels.get(&labels) {
-      return held.clone();
+  /// Returns a shared copy of the labels, since many models have the same labels.
+  fn intern_labels(&mut self, labels: Arc<Labels>) -> Arc<Labels> {
+    if let Some(existing) = self.labels.get(&labels) {
+      return existing.clone();
     }
     self.labels.insert(labels.clone());
     labels
   }
 
-  /// Number of objects in force.
+  /// Number of active objects.
   pub fn len(&self) -> usize {
     self.models.len() + self.servers.len() + self.services.len() + self.policies.len()
   }
 
-  /// Whether nothing is in force.
+  /// Whether no object is active.
   pub fn is_empty(&self) -> bool {
     self.len() == 0
   }
 
-  /// Faults between objects: an adapter without its base.
+  /// Errors of references between objects, for adapters whose base does not exist.
   pub fn dangling(&self) -> Vec<String> {
     let missing = |model: &&Model| {
       let base = model.base.as_ref();
@@ -186,8 +187,8 @@
       .collect()
   }
 
-  /// The policy that rules `model` for requests of `caller`: highest precedence,
-  /// then smallest name.
+  /// Name and policy that apply to `model` for requests of `caller`: the highest
+  /// precedence, then the smallest name.
   pub fn policy(&self, model: &Model, caller: u64) -> Option<(&str, &Policy)> {
     self
       .policies
--- a/src/fact.rs
+++ b/src/fact.rs
@@ -1,4 +1,4 @@
-//! What instances publish to each other: versioned facts, newest wins.
+//! Facts: versioned values that instances publish to each other. The newest version wins.
 
 use crate::{
   object::Name,
@@ -9,26 +9,26 @@
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Names a fact.
+/// Identifies a fact.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Key {
-  /// An instance, as it announces itself or is suspected.
+  /// An instance, as announced by itself or suspected by another.
   Member(String),
   /// An entry of the platform's list of instances.
   Listing(String),
-  /// Newest configuration object that passed its check.
+  /// Newest configuration object that passed validation.
   Object(Name),
-  /// Newest configuration object that did not.
+  /// Newest configuration object that failed validation.
   Rejected(Name),
-  /// Decided replicas of a model.
+  /// Replicas decided for a model.
   Placement(String),
   /// Replicas on a backend server.
   Residence(String),
   /// Checkpoints cached near a backend server.
   Cache(String),
-  /// Load of a backend server; published only where dispatch goes by it.
+  /// Load of a backend server; published only if requests are dispatched by load.
   Load(String),
-  /// A batch, for whoever runs it.
+  /// A batch, published for the instance that runs it.
   Batch(String),
 }
 
@@ -36,7 +36,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Version(pub u64, pub u64);
 
-/// State of an instance in the eyes of its neighbours.
+/// State of an instance as seen by its neighbours.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Health {
   Alive,
@@ -47,14 +47,14 @@
 /// An instance.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
-  /// Peer address, `ip:port`.
+  /// Address for peers, as `ip:port`.
   pub address: String,
-  /// Operators' address, `ip:port`.
+  /// Address for operators, as `ip:port`.
   pub operators: String,
   pub zone: String,
-  /// Start time of the process, ms.
+  /// Start time of the process in ms.
   pub boot: u64,
-  /// Takes no new duties.
+  /// Whether the instance is leaving and takes on no further responsibilities.
   pub leaving: bool,
   pub health: Health,
 }
@@ -68,13 +68,13 @@
   Gone,
 }
 
-/// The short hash of a model's name in `Body::Cache`. Two names that share one
-/// mislead an estimate, nothing more.
+/// Short hash of a model name, as used in `Body::Cache`. A collision only makes an
+/// estimate inaccurate.
 pub fn short_hash(model: &str) -> u32 {
   xxh3_64(model.as_bytes()) as u32
 }
 
-/// A replica on a server.
+/// A replica on a backend server.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Resident {
   pub replica: Id,
@@ -86,26 +86,26 @@
 pub enum Body {
   Member(Member),
   Listing(MachineState),
-  /// JSON text, or `None` for a deleted object.
+  /// JSON text; `None` if the object was deleted.
   Object(Option<String>),
-  /// Why it failed its check.
+  /// The validation error.
   Rejected(String),
   Placement(Vec<Replica>),
   Residence {
     residents: Vec<Resident>,
     leaving: bool,
   },
-  /// Hashes of models with the tier of their checkpoint, where it is not remote.
+  /// Short hash of the model name and tier of each checkpoint that is not remote.
   Cache(Vec<(u32, Tier)>),
-  /// Running and queued requests by replica.
+  /// Number of running and queued requests, by replica.
   Load(Vec<(Id, u32)>),
-  /// Whether every item of the batch has its outcome.
+  /// Whether every item of the batch has an outcome.
   Batch {
     finished: bool,
   },
 }
 
-/// A key with its version and value.
+/// A key with a version and a value.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Fact {
   pub key: Key,
@@ -114,18 +114,18 @@
 }
 
 impl Fact {
-  /// The fact's bytes on the wire.
+  /// Encodes the fact for the wire.
   pub fn encode(&self) -> Vec<u8> {
     postcard::to_stdvec(self).unwrap_or_default()
   }
 
-  /// The fact in these bytes, if they hold one whose value fits its key.
+  /// Decodes a fact; `None` if the bytes are invalid or the value does not match the key.
   pub fn decode(bytes: &[u8]) -> Option<Self> {
     let fact: Self = postcard::from_bytes(bytes).ok()?;
-    fact.fits().then_some(fact)
+    fact.body_matches_key().then_some(fact)
   }
 
-  fn fits(&self) -> bool {
+  fn body_matches_key(&self) -> bool {
     matches!(
       (&self.key, &self.body),
       (Key::Member(_), Body::Member(_))
--- a/src/facts.rs
+++ b/src/facts.rs
@@ -1,4 +1,4 @@
-//! The table of facts, its change log and its repair hashes.
+//! Table of facts with a change log and repair hashes.
 
 use crate::fact::{Body, Fact, Key, Version};
 use slotmap::SlotMap;
@@ -20,20 +20,21 @@
   key: Arc<Key>,
   version: Version,
   body: Body,
-  /// Position in the change log.
+  /// Sequence number in the change log.
   seq: u64,
-  /// Instances known to hold this version, a bit each; 0: made here.
-  known: u64,
+  /// Bit set of the instances known to have this version; 0 if the fact was produced here.
+  known_by: u64,
 }
 
-/// Facts by key, newest version only.
+/// The newest version of each fact, by key.
 #[derive(Clone, Debug)]
 pub struct Table {
   entries: SlotMap<Slot, Entry>,
   index: BTreeMap<Arc<Key>, Slot>,
   log: BTreeMap<u64, Slot>,
-  next: u64,
+  next_seq: u64,
   buckets: [u64; BUCKETS],
+  /// Bit number of each instance in `Entry::known_by`.
   origins: HashMap<String, u32>,
 }
 
@@ -43,18 +44,18 @@
       entries: SlotMap::with_key(),
       index: BTreeMap::new(),
       log: BTreeMap::new(),
-      next: 1,
+      next_seq: 1,
       buckets: [0; BUCKETS],
       origins: HashMap::new(),
     }
   }
 }
 
-fn mark(key: &Key, version: Version) -> u64 {
+fn version_hash(key: &Key, version: Version) -> u64 {
   xxh3_64(&postcard::to_stdvec(&(key, version)).unwrap_or_default())
 }
 
-/// The repair bucket of a key.
+/// Repair bucket of a key.
 fn bucket(key: &Key) -> usize {
   let hash = xxh3_64(&postcard::to_stdvec(key).unwrap_or_default());
   (hash % BUCKETS as u64) as usize
@@ -70,31 +71,32 @@
 }
 
 impl Table {
-  /// Takes a fact unless one at least as new is held; true when taken.
+  /// Stores a fact unless the table has the same or a newer version, and returns whether
+  /// it was stored.
   pub fn merge(&mut self, fact: Fact, origin: &str) -> bool {
-    let held = self.index.get(&fact.key).copied();
-    let known = self.bit(origin);
-    if let Some(entry) = held.and_then(|slot| self.entries.get_mut(slot))
+    let existing = self.index.get(&fact.key).copied();
+    let known_by = self.origin_bit(origin);
+    if let Some(entry) = existing.and_then(|slot| self.entries.get_mut(slot))
       && entry.version >= fact.version
     {
       if entry.version == fact.version {
-        entry.known |= known;
+        entry.known_by |= known_by;
       }
       return false;
     }
-    let seq = self.next;
-    self.next += 1;
+    let seq = self.next_seq;
+    self.next_seq += 1;
     let bucket = bucket(&fact.key);
-    self.buckets[bucket] ^= mark(&fact.key, fact.version);
-    let slot = match held {
+    self.buckets[bucket] ^= version_hash(&fact.key, fact.version);
+    let slot = match existing {
       Some(slot) => {
         let entry = &mut self.entries[slot];
-        self.buckets[bucket] ^= mark(&fact.key, entry.version);
+        self.buckets[bucket] ^= version_hash(&fact.key, entry.version);
         self.log.remove(&entry.seq);
         entry.version = fact.version;
         entry.body = fact.body;
         entry.seq = seq;
-        entry.known = known;
+        entry.known_by = known_by;
         slot
       }
       None => {
@@ -104,7 +106,7 @@
           version: fact.version,
           body: fact.body,
           seq,
-          known,
+          known_by,
         });
         self.index.insert(key, slot);
         slot
@@ -114,8 +116,9 @@
     true
   }
 
-  /// The bit of an instance; more than 64 share bits, which repair makes good.
-  fn bit(&mut self, name: &str) -> u64 {
+  /// Bit of an instance. More than 64 instances share bits; facts that are withheld for
+  /// this reason are sent by repair.
+  fn origin_bit(&mut self, name: &str) -> u64 {
     if name.is_empty() {
       return 0;
     }
@@ -123,14 +126,14 @@
     1 << *self.origins.entry(name.into()).or_insert(next)
   }
 
-  /// The value and version held for a key.
+  /// Value and version stored for a key.
   pub fn get(&self, key: &Key) -> Option<(&Body, Version)> {
     let slot = self.index.get(key)?;
     let entry = self.entries.get(*slot)?;
     Some((&entry.body, entry.version))
   }
 
-  /// Version held for a key; zero when none is.
+  /// Version stored for a key; zero if there is none.
   pub fn version(&self, key: &Key) -> Version {
     self
       .get(key)
@@ -138,9 +141,9 @@
       .unwrap_or_default()
   }
 
-  /// Sequence of the newest change.
+  /// Sequence number of the newest change.
   pub fn newest_seq(&self) -> u64 {
-    self.next - 1
+    self.next_seq - 1
   }
 
   /// Number of facts.
@@ -148,7 +151,7 @@
     self.entries.len()
   }
 
-  /// Whether the table holds nothing.
+  /// Whether the table is empty.
   pub fn is_empty(&self) -> bool {
     self.entries.is_empty()
   }
@@ -158,17 +161,18 @@
     &self.buckets
   }
 
-  /// Encoded facts changed after `seen`, but those that `peer` is known to hold, up
-  /// to `most` bytes, with the sequence they reach. Without `forward` only facts
-  /// made here: where all instances are neighbours, each publishes its own.
+  /// Encoded facts that changed after the sequence number `seen`, without those that
+  /// `peer` is known to have, up to `max_bytes`, and the sequence number that they reach.
+  /// Without `forward`, only facts produced here are included: if all instances are
+  /// neighbours, each publishes its own.
   pub fn changes_since(
     &self,
     seen: u64,
     peer: &str,
-    most: usize,
+    max_bytes: usize,
     forward: bool,
   ) -> (Vec<Vec<u8>>, u64) {
-    let peer = self.origins.get(peer).map_or(0, |bit| 1 << bit);
+    let peer_bit = self.origins.get(peer).map_or(0, |bit| 1 << bit);
     let mut facts = Vec::new();
     let mut bytes = 0;
     let mut upto = seen;
@@ -176,14 +180,14 @@
       let Some(entry) = self.entries.get(*slot) else {
         continue;
       };
-      let known = if forward {
-        entry.known & peer
+      let known_by = if forward {
+        entry.known_by & peer_bit
       } else {
-        entry.known
+        entry.known_by
       };
-      if known == 0 {
+      if known_by == 0 {
         let encoded = encode(entry);
-        if bytes > 0 && bytes + encoded.len() > most {
+        if bytes > 0 && bytes + encoded.len() > max_bytes {
           return (facts, upto);
         }
         bytes += encoded.len();
@@ -194,26 +198,26 @@
     (facts, upto)
   }
 
-  /// Keys in the buckets whose hash differs from `theirs`.
-  pub fn differing_keys(&self, theirs: &[u64]) -> Vec<Key> {
-    if theirs.len() != BUCKETS || theirs == self.buckets {
+  /// Keys in the buckets whose hash differs from the peer's.
+  pub fn differing_keys(&self, peer_buckets: &[u64]) -> Vec<Key> {
+    if peer_buckets.len() != BUCKETS || peer_buckets == self.buckets {
       return Vec::new();
     }
     let differs = |key: &Key| {
       let bucket = bucket(key);
-      theirs[bucket] != self.buckets[bucket]
+      peer_buckets[bucket] != self.buckets[bucket]
     };
     let keys = self.index.keys().map(|key| Key::clone(key));
     keys.filter(differs).collect()
   }
 
-  /// The encoded fact for a key.
+  /// Encoded fact for a key.
   pub fn encoded(&self, key: &Key) -> Option<Vec<u8>> {
     let slot = self.index.get(key)?;
     self.entries.get(*slot).map(encode)
   }
 
-  /// Facts from `start` on, in key order.
+  /// Facts from `start` onwards, in key order.
   pub fn range(&self, start: Key) -> impl Iterator<Item = (&Key, &Body)> {
     let slots = self.index.range(Arc::new(start)..);
     slots.filter_map(|(key, slot)| Some((&**key, &self.entries.get(*slot)?.body)))
--- a/src/gossip.rs
+++ b/src/gossip.rs
@@ -1,4 +1,4 @@
-//! Exchange of facts with neighbours, and the failure detector that rides on it.
+//! Exchange of facts with neighbours, and the failure detector that is based on it.
 
 use crate::{
   effect::Effect,
@@ -9,76 +9,80 @@
 };
 use std::collections::{BTreeMap, VecDeque};
 
-/// Failed exchanges in a row after which a neighbour is suspected.
-const FAILURES: u32 = 3;
-/// Exchanges between two comparisons of repair hashes.
-const REPAIR_EVERY: u32 = 20;
-/// Delay that lets changes made together travel together, ms.
-const GATHER_MS: u64 = 5;
-/// Time after an exchange for which even an urgent update waits, ms.
-const CALM_MS: u64 = 25;
-/// Instances for which the pause between exchanges is as set; it grows in
-/// proportion from there, up to `SLOWEST` times, so that a node's cost does not.
-const SMALL: u64 = 28;
-const SLOWEST: u64 = 4;
+/// Consecutive failed exchanges after which a neighbour is suspected.
+const SUSPECT_AFTER_FAILURES: u32 = 3;
+/// Number of exchanges between two comparisons of repair hashes.
+const REPAIR_INTERVAL_EXCHANGES: u32 = 20;
+/// Delay after an urgent change, so that changes made together are sent together.
+const BATCHING_DELAY_MS: u64 = 5;
+/// Time after an exchange for which even an urgent change waits.
+const MIN_EXCHANGE_GAP_MS: u64 = 25;
+/// Number of instances up to which the interval between exchanges is as configured. In a
+/// larger fleet it grows in proportion, up to `MAX_SLOWDOWN` times, so that the cost per
+/// instance does not grow.
+const BASE_FLEET_SIZE: u64 = 28;
+const MAX_SLOWDOWN: u64 = 4;
 
-/// What is known of one neighbour.
+/// State of the exchanges with one neighbour.
 #[derive(Clone, Debug, Default)]
 struct Link {
-  /// Boot of the neighbour that the numbers below belong to.
+  /// Start time in ms of the neighbour's process to which the other fields refer.
   boot: u64,
-  /// Our newest change that the neighbour has merged.
-  sent: u64,
-  /// The neighbour's newest change that we have merged.
-  seen: u64,
-  /// Keys to send again.
-  repair: VecDeque<Key>,
-  /// When the exchange on its way was sent, ms.
-  asked_at: Option<u64>,
-  /// Time of the next exchange, ms.
-  next_at: u64,
-  /// Time before which even an urgent update waits, ms.
-  calm_until: u64,
+  /// Sequence number of the newest local change that the neighbour has merged.
+  acked_seq: u64,
+  /// Sequence number of the neighbour's newest change that was merged here.
+  merged_seq: u64,
+  /// Keys of the facts to send again.
+  repair_keys: VecDeque<Key>,
+  /// Time in ms at which the pending exchange was sent; `None` if none is pending.
+  pending_since: Option<u64>,
+  /// Time in ms of the next regular exchange.
+  next_exchange_at: u64,
+  /// Time in ms before which even an urgent change waits.
+  urgent_not_before: u64,
   failures: u32,
-  /// Exchanges until hashes are compared.
-  until_repair: u32,
+  /// Number of exchanges until repair hashes are compared.
+  exchanges_until_repair: u32,
 }
 
-/// Links to neighbours, by instance; seeds stand under their address.
+/// State of the exchanges and of the failure detector.
 #[derive(Clone, Debug, Default)]
 pub struct Gossip {
+  /// Links by instance name; a seed whose name is unknown is listed by its address.
   links: BTreeMap<String, Link>,
-  /// Newest change of ours that was worth an exchange at once.
-  urgent: u64,
-  /// When that change was made, ms.
-  urgent_at: u64,
-  /// Suspicions of ours, with the time at which they become final, ms.
-  suspects: BTreeMap<String, u64>,
+  /// Sequence number of the newest change that is sent without waiting for the regular
+  /// exchange.
+  urgent_seq: u64,
+  /// Time in ms of that change.
+  urgent_changed_at: u64,
+  /// Instances suspected by this one, with the time in ms at which each is declared dead.
+  suspected: BTreeMap<String, u64>,
 }
 
-fn urgent(key: &Key) -> bool {
+fn is_urgent(key: &Key) -> bool {
   !matches!(key, Key::Load(_))
 }
 
 impl State {
-  /// Takes up a fact; anything it changes here follows at once.
+  /// Merges a fact and updates the state derived from it.
   pub fn merge_fact(&mut self, fact: Fact, origin: &str) {
     let key = fact.key.clone();
-    if self.disputed(&fact) {
+    if self.refute_suspicion(&fact) {
       return;
     }
     if !self.facts.merge(fact, origin) {
       return;
     }
-    if urgent(&key) {
-      self.gossip.urgent = self.facts.newest_seq();
-      self.gossip.urgent_at = self.now;
+    if is_urgent(&key) {
+      self.gossip.urgent_seq = self.facts.newest_seq();
+      self.gossip.urgent_changed_at = self.now;
     }
     self.learn(&key);
   }
 
-  /// A fact that says ill of this instance is answered, not taken.
-  fn disputed(&mut self, fact: &Fact) -> bool {
+  /// Refutes a fact that reports this process as suspect or dead, and returns whether it
+  /// did so. Such a fact is not merged.
+  fn refute_suspicion(&mut self, fact: &Fact) -> bool {
     let (Key::Member(id), Body::Member(member)) = (&fact.key, &fact.body) else {
       return false;
     };
@@ -92,13 +96,13 @@
     true
   }
 
-  /// Rebuilds the view of the fleet after a change of members.
+  /// Updates the view of the fleet after a change of members.
   pub fn refresh_members(&mut self) {
     let me = self.me.instance.clone();
     self.members.refresh(&self.facts, &me);
     let neighbours = &self.members.neighbours;
-    let kept = |id: &String| neighbours.contains(id) || id.contains(':');
-    self.gossip.links.retain(|id, _| kept(id));
+    let is_kept = |id: &String| neighbours.contains(id) || id.contains(':');
+    self.gossip.links.retain(|id, _| is_kept(id));
   }
 
   /// Starts the exchanges that are due.
@@ -118,31 +122,34 @@
     self.confirm_suspects();
   }
 
-  /// Pause between two exchanges with a neighbour, ms.
-  fn pause(&self) -> u64 {
-    let fleet = self.members.live.len() as u64;
-    self.limits.exchange_ms * fleet.clamp(SMALL, SMALL * SLOWEST) / SMALL
+  /// Interval in ms between two exchanges with a neighbour.
+  fn exchange_interval(&self) -> u64 {
+    let fleet_size = self.members.live.len() as u64;
+    self.limits.exchange_ms * fleet_size.clamp(BASE_FLEET_SIZE, BASE_FLEET_SIZE * MAX_SLOWDOWN)
+      / BASE_FLEET_SIZE
   }
 
   fn exchange(&mut self, peer: &str, address: &str) {
-    let pause = self.pause();
-    let urgent = self.gossip.urgent;
-    let gathered = self.now >= self.gossip.urgent_at + GATHER_MS;
+    let interval = self.exchange_interval();
+    let urgent_seq = self.gossip.urgent_seq;
+    let is_batched = self.now >= self.gossip.urgent_changed_at + BATCHING_DELAY_MS;
     let link = self.gossip.links.entry(peer.into()).or_default();
-    let calm = self.now < link.calm_until;
-    let hasty = gathered && !calm && link.sent < urgent && link.failures == 0;
-    let lost = link
-      .asked_at
-      .is_some_and(|at| at + 4 * pause + 2_000 < self.now);
-    if (link.asked_at.is_some() && !lost) || !(hasty || link.next_at <= self.now) {
+    let must_wait = self.now < link.urgent_not_before;
+    let send_early = is_batched && !must_wait && link.acked_seq < urgent_seq && link.failures == 0;
+    let timed_out = link
+      .pending_since
+      .is_some_and(|at| at + 4 * interval + 2_000 < self.now);
+    if (link.pending_since.is_some() && !timed_out)
+      || !(send_early || link.next_exchange_at <= self.now)
+    {
       return;
     }
-    link.asked_at = Some(self.now);
-    let due = pause / 2 + self.random(pause);
+    link.pending_since = Some(self.now);
+    let delay = interval / 2 + self.random(interval);
     let delta = self.delta(peer);
     if let Some(link) = self.gossip.links.get_mut(peer) {
-      link.next_at = self.now + due;
-      link.calm_until = self.now + CALM_MS;
+      link.next_exchange_at = self.now + delay;
+      link.urgent_not_before = self.now + MIN_EXCHANGE_GAP_MS;
     }
     self.emit(Effect::Exchange {
       peer: peer.into(),
@@ -152,13 +159,15 @@
   }
 
   fn delta(&mut self, peer: &str) -> Delta {
-    let most = self.limits.delta_bytes;
+    let max_bytes = self.limits.delta_bytes;
     let link = self.gossip.links.entry(peer.into()).or_default();
-    let forward = self.members.forwards();
-    let (mut facts, upto) = self.facts.changes_since(link.sent, peer, most, forward);
+    let forward = self.members.forwards_facts();
+    let (mut facts, upto) = self
+      .facts
+      .changes_since(link.acked_seq, peer, max_bytes, forward);
     let mut bytes: usize = facts.iter().map(Vec::len).sum();
-    while bytes < most {
-      let Some(key) = link.repair.pop_front() else {
+    while bytes < max_bytes {
+      let Some(key) = link.repair_keys.pop_front() else {
         break;
       };
       if let Some(fact) = self.facts.encoded(&key) {
@@ -166,13 +175,13 @@
         facts.push(fact);
       }
     }
-    let compare = link.until_repair == 0 && upto == self.facts.newest_seq();
-    link.until_repair = if compare {
-      REPAIR_EVERY
+    let compare_hashes = link.exchanges_until_repair == 0 && upto == self.facts.newest_seq();
+    link.exchanges_until_repair = if compare_hashes {
+      REPAIR_INTERVAL_EXCHANGES
     } else {
-      link.until_repair.saturating_sub(1)
+      link.exchanges_until_repair.saturating_sub(1)
     };
-    let buckets = if compare {
+    let buckets = if compare_hashes {
       self.facts.buckets().to_vec()
     } else {
       Vec::new()
@@ -180,7 +189,7 @@
     Delta {
       from: self.me.instance.clone(),
       boot: self.me.boot,
-      seen: link.seen,
+      seen: link.merged_seq,
       upto,
       facts,
       buckets,
@@ -195,70 +204,70 @@
     }
     let link = self.gossip.links.entry(delta.from.clone()).or_default();
     if link.boot != delta.boot {
-      // A new process knows nothing of ours: the hashes show what it lacks.
+      // A new process has no facts of this instance; the repair hashes show what it lacks.
       *link = Link {
         boot: delta.boot,
-        sent: self.facts.newest_seq(),
-        next_at: link.next_at,
-        asked_at: link.asked_at,
+        acked_seq: self.facts.newest_seq(),
+        next_exchange_at: link.next_exchange_at,
+        pending_since: link.pending_since,
         ..Link::default()
       };
     }
     link.failures = 0;
-    link.seen = link.seen.max(delta.upto);
-    link.sent = link.sent.max(delta.seen.min(self.facts.newest_seq()));
+    link.merged_seq = link.merged_seq.max(delta.upto);
+    link.acked_seq = link.acked_seq.max(delta.seen.min(self.facts.newest_seq()));
     if !delta.buckets.is_empty() {
-      link.repair = self.facts.differing_keys(&delta.buckets).into();
+      link.repair_keys = self.facts.differing_keys(&delta.buckets).into();
     }
   }
 
-  /// Merges a neighbour's delta and answers with ours.
+  /// Merges a neighbour's delta and responds with a delta of this instance.
   pub fn on_exchange(&mut self, call: Call, delta: &Delta) {
     self.merge(delta);
-    let next_at = self.now + self.pause();
+    let next_exchange_at = self.now + self.exchange_interval();
     if let Some(link) = self.gossip.links.get_mut(&delta.from) {
-      // The neighbour is heard of: no need to ask it as well.
-      link.next_at = link.next_at.max(next_at);
+      // The neighbour has just exchanged deltas, so this instance postpones its own.
+      link.next_exchange_at = link.next_exchange_at.max(next_exchange_at);
     }
-    let answer = self.delta(&delta.from);
+    let response = self.delta(&delta.from);
     self.emit(Effect::Answer {
       call,
-      delta: answer,
+      delta: response,
     });
   }
 
-  /// Merges a neighbour's answer, or counts its silence.
+  /// Merges a neighbour's response, or counts a failure if there was none.
   pub fn on_exchanged(&mut self, peer: &str, delta: Option<&Delta>) {
     let Some(delta) = delta else {
-      self.on_silence(peer);
+      self.on_exchange_failed(peer);
       return;
     };
     if let Some(link) = self.gossip.links.get_mut(peer) {
-      link.asked_at = None;
+      link.pending_since = None;
     }
     self.merge(delta);
-    self.gossip.suspects.remove(&delta.from);
+    self.gossip.suspected.remove(&delta.from);
     if delta.from != peer {
-      // A seed has reported its name.
+      // The peer was a seed, which has now reported its name.
       self.gossip.links.remove(peer);
     }
   }
 
-  fn on_silence(&mut self, peer: &str) {
-    let pause = self.pause();
+  fn on_exchange_failed(&mut self, peer: &str) {
+    let interval = self.exchange_interval();
     let Some(link) = self.gossip.links.get_mut(peer) else {
       return;
     };
-    link.asked_at = None;
+    link.pending_since = None;
     link.failures += 1;
-    link.next_at = self.now + pause;
-    if link.failures >= FAILURES {
-      self.judge(peer, Health::Suspect);
+    link.next_exchange_at = self.now + interval;
+    if link.failures >= SUSPECT_AFTER_FAILURES {
+      self.publish_health(peer, Health::Suspect);
     }
   }
 
-  /// Publishes a worse health for an instance.
-  fn judge(&mut self, peer: &str, health: Health) {
+  /// Publishes a worse health of an instance.
+  fn publish_health(&mut self, peer: &str, health: Health) {
     let key = Key::Member(peer.into());
     let Some((Body::Member(member), version)) = self.facts.get(&key) else {
       return;
@@ -278,8 +287,8 @@
     });
     self.publish(key, version, Body::Member(member));
     if health == Health::Suspect {
-      let until = self.now + self.limits.suspect_ms;
-      self.gossip.suspects.insert(peer.into(), until);
+      let dead_at = self.now + self.limits.suspect_ms;
+      self.gossip.suspected.insert(peer.into(), dead_at);
     }
   }
 
@@ -287,20 +296,20 @@
     let now = self.now;
     let due: Vec<String> = self
       .gossip
-      .suspects
+      .suspected
       .iter()
-      .filter(|(_, until)| **until <= now)
+      .filter(|(_, dead_at)| **dead_at <= now)
       .map(|(peer, _)| peer.clone())
       .collect();
     for peer in due {
-      self.gossip.suspects.remove(&peer);
+      self.gossip.suspected.remove(&peer);
       let key = Key::Member(peer.clone());
       let suspect = matches!(
         self.facts.get(&key),
         Some((Body::Member(member), _)) if member.health == Health::Suspect
       );
       if suspect {
-        self.judge(&peer, Health::Dead);
+        self.publish_health(&peer, Health::Dead);
       }
     }
   }
--- a/src/members.rs
+++ b/src/members.rs
@@ -1,4 +1,4 @@
-//! Who takes part: the live instances, and the neighbours this one talks to.
+//! Membership: the live instances, and the neighbours of this instance.
 
 use crate::{
   fact::{Body, Health, Key, Member},
@@ -7,28 +7,28 @@
 };
 use std::collections::BTreeMap;
 
-/// With this many others or fewer, every other instance is a neighbour.
-const FULL_MESH: usize = 8;
-/// Ring successors among the neighbours of a larger fleet.
-const SUCCESSORS: usize = 3;
-/// Further neighbours of a larger fleet, by rendezvous.
-const LINKS: usize = 3;
+/// Maximum number of other instances for which each of them is a neighbour.
+const MAX_FULL_MESH_PEERS: usize = 8;
+/// Number of ring successors among the neighbours in a larger fleet.
+const RING_SUCCESSORS: usize = 3;
+/// Number of further neighbours in a larger fleet, chosen by rendezvous hashing.
+const RENDEZVOUS_LINKS: usize = 3;
 
-/// The view of the fleet, derived from facts.
+/// View of the fleet, derived from facts.
 #[derive(Clone, Debug, Default)]
 pub struct Members {
-  /// Instances that take duties, sorted.
+  /// Instances that are alive and not leaving, sorted.
   pub live: Vec<String>,
-  /// Instances this one exchanges facts with.
+  /// Instances with which this one exchanges facts.
   pub neighbours: Vec<String>,
-  /// Rises whenever `live` changes.
+  /// Incremented whenever `live` changes.
   pub epoch: u64,
 }
 
 impl Members {
-  /// Derives the view; true when the live instances changed.
+  /// Updates the view and returns whether the live instances changed.
   pub fn refresh(&mut self, facts: &Table, me: &str) -> bool {
-    let known = known(facts);
+    let known = known_members(facts);
     let live: Vec<String> = known
       .iter()
       .filter(|(_, member)| member.health == Health::Alive && !member.leaving)
@@ -39,25 +39,26 @@
       .filter(|(id, member)| member.health != Health::Dead && id != me)
       .map(|(id, _)| id)
       .collect();
-    self.neighbours = neighbours(reachable, me);
+    self.neighbours = choose_neighbours(reachable, me);
     let changed = live != self.live;
     self.live = live;
     self.epoch += u64::from(changed);
     changed
   }
 
-  /// Whether facts of others are passed on: only where not all are neighbours.
-  pub fn forwards(&self) -> bool {
-    self.live.len() > FULL_MESH + 1
+  /// Whether facts of other instances are forwarded, which is needed only if not all
+  /// instances are neighbours.
+  pub fn forwards_facts(&self) -> bool {
+    self.live.len() > MAX_FULL_MESH_PEERS + 1
   }
 
-  /// The instance that usually acts for `key`.
+  /// The instance that normally owns `key`.
   pub fn owner(&self, key: &str) -> Option<&str> {
     rendezvous::owner(&self.live, key)
   }
 }
 
-fn known(facts: &Table) -> BTreeMap<String, Member> {
+fn known_members(facts: &Table) -> BTreeMap<String, Member> {
   let start = Key::Member(String::new());
   facts
     .range(start)
@@ -68,16 +69,16 @@
     .collect()
 }
 
-fn neighbours(others: Vec<String>, me: &str) -> Vec<String> {
-  if others.len() <= FULL_MESH {
+fn choose_neighbours(others: Vec<String>, me: &str) -> Vec<String> {
+  if others.len() <= MAX_FULL_MESH_PEERS {
     return others;
   }
-  // The ring makes sure that everyone is watched; the links keep paths short.
-  let after = others.partition_point(|other| other.as_str() < me);
-  let ring = others.iter().cycle().skip(after).take(SUCCESSORS);
+  // The ring ensures that every instance is monitored; the links keep paths short.
+  let position = others.partition_point(|other| other.as_str() < me);
+  let ring = others.iter().cycle().skip(position).take(RING_SUCCESSORS);
   let mut chosen: Vec<String> = ring.cloned().collect();
-  for link in rendezvous::first(&others, me, LINKS + SUCCESSORS) {
-    if chosen.len() < SUCCESSORS + LINKS && !chosen.contains(&link) {
+  for link in rendezvous::top_ranked(&others, me, RENDEZVOUS_LINKS + RING_SUCCESSORS) {
+    if chosen.len() < RING_SUCCESSORS + RENDEZVOUS_LINKS && !chosen.contains(&link) {
       chosen.push(link);
     }
   }
--- a/src/notice.rs
+++ b/src/notice.rs
@@ -1,5 +1,5 @@
-//! One-way messages to a single instance. All are soft state: losing one costs
-//! time, never safety.
+//! One-way messages to a single instance. All are soft state: a lost message causes delay
+//! but never affects safety.
 
 use crate::replica::Id;
 use serde::{Deserialize, Serialize};
@@ -7,36 +7,36 @@
 /// A message to one instance.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Notice {
-  /// To the instance that decides for a model: what the sender has of it.
+  /// Sent to the instance that decides for a model: the demand at the sender.
   Demand {
     model: String,
     policy: String,
-    /// Requests waiting at the sender.
+    /// Number of requests that wait at the sender.
     waiting: u32,
-    /// Requests running for the sender.
+    /// Number of requests of the sender that run on replicas.
     running: u32,
-    /// Requests that arrived since the last notice.
+    /// Number of requests that arrived since the last notice.
     arrived: u32,
   },
-  /// From that instance: how many requests of the receiver a replica may run.
+  /// Sent by that instance: how many requests of the receiver a replica may run.
   Share {
     model: String,
     policy: String,
     replica: Id,
     slots: u32,
   },
-  /// To the instance that decides for a model: memory is short where the
-  /// replica stands, and the sender has use for it.
+  /// Sent to the instance that decides for a model: memory is short on the replica's
+  /// server, and the sender needs it.
   Yield { model: String, replica: Id },
 }
 
 impl Notice {
-  /// The notice's bytes on the wire.
+  /// Encodes the notice for the wire.
   pub fn encode(&self) -> Vec<u8> {
     postcard::to_stdvec(self).unwrap_or_default()
   }
 
-  /// The notice in these bytes.
+  /// Decodes a notice; `None` if the bytes are invalid.
   pub fn decode(bytes: &[u8]) -> Option<Self> {
     postcard::from_bytes(bytes).ok()
   }
--- a/src/object.rs
+++ b/src/object.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-/// The kinds of object this system reads and writes.
+/// Kinds of objects that the system reads and writes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Kind {
@@ -21,7 +21,7 @@
   /// Kinds that operators edit.
   pub const CONFIGURED: [Self; 4] = [Self::Model, Self::Server, Self::Service, Self::Policy];
 
-  /// The kind's path segment in the object API.
+  /// Path segment of the kind in the object API.
   pub fn as_str(self) -> &'static str {
     match self {
       Self::Model => "model",
@@ -36,8 +36,8 @@
     }
   }
 
-  /// The kind with this path segment.
-  pub fn parse(word: &str) -> Option<Self> {
+  /// Kind with this path segment; `None` if there is none.
+  pub fn parse(segment: &str) -> Option<Self> {
     [
       Self::Model,
       Self::Server,
@@ -50,11 +50,11 @@
       Self::Accepted,
     ]
     .into_iter()
-    .find(|kind| kind.as_str() == word)
+    .find(|kind| kind.as_str() == segment)
   }
 }
 
-/// Names one object.
+/// Identifies an object.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Name {
   pub kind: Kind,
@@ -62,7 +62,7 @@
 }
 
 impl Name {
-  /// The name of an object of `kind`.
+  /// Creates the name of an object of `kind`.
   pub fn new(kind: Kind, name: impl Into<String>) -> Self {
     Self {
       kind,
@@ -81,8 +81,8 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Object {
   pub name: Name,
-  /// Revision of the platform at which this version was written; 0: absent.
+  /// Platform revision at which this version was written; 0 if the object is absent.
   pub version: u64,
-  /// JSON text; `None` for a deleted object.
+  /// JSON text; `None` if the object was deleted.
   pub value: Option<String>,
 }
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -1,4 +1,4 @@
-//! Calls between instances, over tonic. The only module with an async runtime.
+//! Calls between instances, made with tonic. No other module has an async runtime.
 
 use crate::{
   claim::{Change, Outcome},
@@ -26,14 +26,14 @@
   transport::{Channel, Endpoint, Server},
 };
 
-/// Longest wait for another instance.
-const CALL: Duration = Duration::from_millis(1_000);
-/// Longest wait for a claim, which holds a platform write.
-const CLAIM: Duration = Duration::from_millis(5_000);
-/// Threads of the runtime.
-const THREADS: usize = 2;
+/// Timeout of a call to another instance.
+const CALL_TIMEOUT: Duration = Duration::from_millis(1_000);
+/// Timeout of a claim call, which includes a platform write.
+const CLAIM_TIMEOUT: Duration = Duration::from_millis(5_000);
+/// Number of threads of the async runtime.
+const RUNTIME_THREADS: usize = 2;
 
-/// Takes events for the reducer.
+/// Receives the events for the reducer.
 pub type Sink = Arc<dyn Fn(Event) + Send + Sync>;
 
 enum Waiter {
@@ -43,11 +43,11 @@
 
 #[derive(Default)]
 struct Waiters {
-  next: u64,
-  open: HashMap<Call, Waiter>,
+  last_call: u64,
+  pending: HashMap<Call, Waiter>,
 }
 
-/// Bytes of messages between instances, without framing.
+/// Number of messages sent to other instances, and bytes sent and received, without framing.
 #[derive(Debug, Default)]
 pub struct Traffic {
   pub sent: AtomicU64,
@@ -56,28 +56,28 @@
 }
 
 impl Traffic {
-  fn out(&self, message: &impl Message) {
+  fn record_sent(&self, message: &impl Message) {
     self.messages.fetch_add(1, Ordering::Relaxed);
     let length = message.encoded_len() as u64;
     self.sent.fetch_add(length, Ordering::Relaxed);
   }
 
-  fn back(&self, message: &impl Message) {
+  fn record_received(&self, message: &impl Message) {
     let length = message.encoded_len() as u64;
     self.received.fetch_add(length, Ordering::Relaxed);
   }
 }
 
-/// A bound peer port with its clients.
+/// The peer port of this instance, with the clients for other instances.
 pub struct Port {
   runtime: tokio::runtime::Runtime,
   clients: Arc<Mutex<HashMap<String, PeerClient<Channel>>>>,
   waiters: Arc<Mutex<Waiters>>,
   sink: Sink,
   traffic: Arc<Traffic>,
-  me: String,
+  instance: String,
   boot: u64,
-  /// Address bound.
+  /// Bound address.
   pub address: SocketAddr,
 }
 
@@ -92,24 +92,24 @@
 }
 
 impl Service {
-  fn open_call(&self, waiter: Waiter) -> Call {
+  fn register_call(&self, waiter: Waiter) -> Call {
     let mut waiters = lock(&self.waiters);
-    waiters.next += 1;
-    let call = Call(waiters.next);
-    waiters.open.insert(call, waiter);
+    waiters.last_call += 1;
+    let call = Call(waiters.last_call);
+    waiters.pending.insert(call, waiter);
     call
   }
 
-  async fn answer<T>(
+  async fn await_response<T>(
     &self,
     call: Call,
-    answer: oneshot::Receiver<T>,
-    wait: Duration,
+    receiver: oneshot::Receiver<T>,
+    timeout: Duration,
   ) -> Result<T, Status> {
-    let answer = tokio::time::timeout(wait, answer).await;
-    lock(&self.waiters).open.remove(&call);
-    match answer {
-      Ok(Ok(answer)) => Ok(answer),
+    let response = tokio::time::timeout(timeout, receiver).await;
+    lock(&self.waiters).pending.remove(&call);
+    match response {
+      Ok(Ok(response)) => Ok(response),
       _ => Err(Status::deadline_exceeded("no answer")),
     }
   }
@@ -119,14 +119,14 @@
 impl Peer for Service {
   async fn exchange(&self, request: Request<wire::Delta>) -> Result<Response<wire::Delta>, Status> {
     let delta = request.into_inner();
-    self.traffic.back(&delta);
+    self.traffic.record_received(&delta);
     let delta = from_wire(delta);
     let (sender, receiver) = oneshot::channel();
-    let call = self.open_call(Waiter::Delta(sender));
+    let call = self.register_call(Waiter::Delta(sender));
     (self.sink)(Event::Exchange { call, delta });
-    let answer = to_wire(self.answer(call, receiver, CALL).await?);
-    self.traffic.out(&answer);
-    Ok(Response::new(answer))
+    let delta = to_wire(self.await_response(call, receiver, CALL_TIMEOUT).await?);
+    self.traffic.record_sent(&delta);
+    Ok(Response::new(delta))
   }
 
   async fn notify(
@@ -134,7 +134,7 @@
     request: Request<wire::Notice>,
   ) -> Result<Response<wire::Receipt>, Status> {
     let notice = request.into_inner();
-    self.traffic.back(&notice);
+    self.traffic.record_received(&notice);
     let items = notice.items.iter().filter_map(|item| Notice::decode(item));
     (self.sink)(Event::Notified {
       from: notice.from,
@@ -145,7 +145,7 @@
 
   async fn claim(&self, request: Request<wire::Claims>) -> Result<Response<wire::Claims>, Status> {
     let claims = request.into_inner();
-    self.traffic.back(&claims);
+    self.traffic.record_received(&claims);
     let changes: Result<Vec<Change>, _> = claims
       .items
       .iter()
@@ -153,13 +153,13 @@
       .collect();
     let changes = changes.map_err(|error| Status::invalid_argument(error.to_string()))?;
     let (sender, receiver) = oneshot::channel();
-    let call = self.open_call(Waiter::Claims(sender));
+    let call = self.register_call(Waiter::Claims(sender));
     (self.sink)(Event::ClaimsRequested {
       call,
       shard: claims.shard,
       changes,
     });
-    let outcomes = self.answer(call, receiver, CLAIM).await?;
+    let outcomes = self.await_response(call, receiver, CLAIM_TIMEOUT).await?;
     Ok(Response::new(wire::Claims {
       items: encode(&outcomes),
       ..wire::Claims::default()
@@ -198,13 +198,13 @@
   /// Binds the peer port and serves other instances.
   pub fn bind(
     address: &str,
-    me: &str,
+    instance: &str,
     boot: u64,
     traffic: Arc<Traffic>,
     sink: Sink,
   ) -> std::io::Result<Self> {
     let runtime = tokio::runtime::Builder::new_multi_thread()
-      .worker_threads(THREADS)
+      .worker_threads(RUNTIME_THREADS)
       .thread_name("peer")
       .enable_all()
       .build()?;
@@ -232,7 +232,7 @@
       waiters,
       sink,
       traffic,
-      me: me.into(),
+      instance: instance.into(),
       boot,
       address,
     })
@@ -245,7 +245,7 @@
     }
     let _runtime = self.runtime.enter();
     let endpoint = Endpoint::from_shared(format!("http://{address}")).ok()?;
-    let endpoint = endpoint.connect_timeout(CALL).tcp_nodelay(true);
+    let endpoint = endpoint.connect_timeout(CALL_TIMEOUT).tcp_nodelay(true);
     let client = PeerClient::new(endpoint.connect_lazy());
     clients.insert(address.into(), client.clone());
     Some(client)
@@ -261,13 +261,13 @@
     let traffic = self.traffic.clone();
     self.runtime.spawn(async move {
       let delta = to_wire(delta);
-      traffic.out(&delta);
-      let answer = tokio::time::timeout(CALL, client.exchange(delta)).await;
-      let delta = match answer {
+      traffic.record_sent(&delta);
+      let result = tokio::time::timeout(CALL_TIMEOUT, client.exchange(delta)).await;
+      let delta = match result {
         Ok(Ok(response)) => {
-          let answer = response.into_inner();
-          traffic.back(&answer);
-          Some(from_wire(answer))
+          let delta = response.into_inner();
+          traffic.record_received(&delta);
+          Some(from_wire(delta))
         }
         _ => None,
       };
@@ -281,18 +281,18 @@
       return;
     };
     let notice = wire::Notice {
-      from: self.me.clone(),
+      from: self.instance.clone(),
       boot: self.boot,
       items: items.iter().map(Notice::encode).collect(),
     };
-    self.traffic.out(&notice);
+    self.traffic.record_sent(&notice);
     self.runtime.spawn(async move {
-      // Soft state: a lost notice is stated again.
-      let _ = tokio::time::timeout(CALL, client.notify(notice)).await;
+      // Notices are soft state: a lost one is sent again.
+      let _ = tokio::time::timeout(CALL_TIMEOUT, client.notify(notice)).await;
     });
   }
 
-  /// Asks a shard's owner for claims.
+  /// Sends claim changes to the owner of their shard.
   pub fn claim(&self, address: &str, shard: u32, group: u64, changes: &[Change]) {
     let Some(mut client) = self.client(address) else {
       (self.sink)(Event::ClaimAnswered {
@@ -303,16 +303,16 @@
       return;
     };
     let claims = wire::Claims {
-      from: self.me.clone(),
+      from: self.instance.clone(),
       boot: self.boot,
       shard,
       items: encode(changes),
     };
-    self.traffic.out(&claims);
+    self.traffic.record_sent(&claims);
     let sink = self.sink.clone();
     self.runtime.spawn(async move {
-      let answer = tokio::time::timeout(CLAIM, client.claim(claims)).await;
-      let outcomes = match answer {
+      let result = tokio::time::timeout(CLAIM_TIMEOUT, client.claim(claims)).await;
+      let outcomes = match result {
         Ok(Ok(response)) => decode_outcomes(&response.into_inner()),
         _ => None,
       };
@@ -324,21 +324,21 @@
     });
   }
 
-  /// Answers a neighbour's exchange.
+  /// Responds to a neighbour's exchange.
   pub fn answer(&self, call: Call, delta: Delta) {
-    if let Some(Waiter::Delta(waiter)) = lock(&self.waiters).open.remove(&call) {
+    if let Some(Waiter::Delta(waiter)) = lock(&self.waiters).pending.remove(&call) {
       let _ = waiter.send(delta);
     }
   }
 
-  /// Answers another instance's claims.
+  /// Responds to another instance's claim changes.
   pub fn answer_claims(&self, call: Call, outcomes: Vec<Outcome>) {
-    if let Some(Waiter::Claims(waiter)) = lock(&self.waiters).open.remove(&call) {
+    if let Some(Waiter::Claims(waiter)) = lock(&self.waiters).pending.remove(&call) {
       let _ = waiter.send(outcomes);
     }
   }
 
-  /// Ends the runtime without waiting for open calls.
+  /// Stops the runtime without waiting for pending calls.
   pub fn close(self) {
     self.runtime.shutdown_background();
   }
--- a/src/platform.rs
+++ b/src/platform.rs
@@ -1,11 +1,13 @@
 //! Client of the platform's object API.
 //!
-//! `GET /objects/KIND/NAME` answers `{version, value}` or 404;
-//! `PUT /objects/KIND/NAME?version=N` writes if the object still has version N
-//! (0: absent), else 409; `GET /objects?kinds=K,K&after=REV&wait=MS&limit=N`
-//! answers up to N objects changed after a revision, by version, waiting for one,
-//! and the revision reached; `GET /names/KIND` answers
-//! `[[name, version]]`; `GET /instances` answers the list of machines.
+//! - `GET /objects/KIND/NAME` returns `{version, value}` or 404.
+//! - `PUT /objects/KIND/NAME?version=N` writes the object if it still has version N (0 if
+//!   it is absent), and returns 409 otherwise.
+//! - `GET /objects?kinds=K,K&after=REV&wait=MS&limit=N` waits for a change and returns up
+//!   to N objects that changed after a revision, ordered by version, and the revision
+//!   reached.
+//! - `GET /names/KIND` returns `[[name, version]]`.
+//! - `GET /instances` returns the list of machines.
 
 use crate::{
   bucket::Bucket,
@@ -28,42 +30,42 @@
 };
 use ureq::Agent;
 
-/// Largest answer read, bytes.
-const ANSWER_LIMIT: u64 = 64 << 20;
-/// Objects in one answer to a watch.
-const PAGE: usize = 500;
-/// Objects kept as a base for the next write.
-const CACHED: usize = 256;
-/// Longest wait for one answer.
-const CALL: Duration = Duration::from_millis(1_000);
-/// Pause before a failed call is made again, and its most.
-const RETRY: Duration = Duration::from_millis(20);
-const RETRY_MOST: Duration = Duration::from_millis(500);
+/// Maximum size of a response body.
+const MAX_RESPONSE_BYTES: u64 = 64 << 20;
+/// Maximum number of objects in one response to a watch.
+const WATCH_PAGE_SIZE: usize = 500;
+/// Maximum number of objects cached as a base for the next write.
+const MAX_CACHED_OBJECTS: usize = 256;
+/// Timeout of one call; a watch may take this much longer than its wait.
+const CALL_TIMEOUT: Duration = Duration::from_millis(1_000);
+/// Initial and maximum delay before a failed call is retried.
+const RETRY_DELAY: Duration = Duration::from_millis(20);
+const MAX_RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// Why a call gave nothing.
+/// Why a call failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Error {
-  /// The object has another version.
+  /// The object has a different version.
   Conflict,
-  /// No answer, or not in time; a write may have taken effect.
+  /// No valid response arrived in time; a write may have taken effect.
   Unavailable,
-  /// The platform declines the value.
+  /// The platform refused the value.
   Declined,
 }
 
 #[derive(Deserialize)]
-struct Written {
+struct WriteResponse {
   version: u64,
 }
 
 #[derive(Deserialize)]
-struct Read {
+struct ReadResponse {
   version: u64,
   value: Box<RawValue>,
 }
 
 #[derive(Deserialize)]
-struct Changed {
+struct ChangedObject {
   kind: String,
   name: String,
   version: u64,
@@ -71,9 +73,9 @@
 }
 
 #[derive(Deserialize)]
-struct Watched {
+struct WatchResponse {
   revision: u64,
-  objects: Vec<Changed>,
+  objects: Vec<ChangedObject>,
 }
 
 #[derive(Deserialize)]
@@ -85,40 +87,42 @@
 }
 
 #[derive(Deserialize)]
-struct Machines {
+struct MachineList {
   revision: u64,
   instances: Vec<Machine>,
 }
 
-/// A client with its share of the platform's call budget.
+/// A client that limits its calls to its share of the platform's call budget.
 pub struct Client {
   address: String,
   agent: Agent,
   bucket: Mutex<Bucket>,
-  /// Own kinds as last read or written; a base for the next write only.
+  /// Objects of the system's own kinds as last written, used only as a base for the next
+  /// write.
   cache: Mutex<HashMap<Name, Stored>>,
-  longest: Duration,
-  /// Calls made.
+  /// Time after which `update` starts no further attempt.
+  update_timeout: Duration,
+  /// Number of calls.
   pub calls: AtomicU64,
-  /// Calls that failed.
+  /// Number of calls without a response or with a server error.
   pub failures: AtomicU64,
 }
 
 impl Client {
-  /// A client for the platform named in the settings.
+  /// Creates a client for the platform in the settings.
   pub fn new(settings: &Settings) -> Self {
     let config = Agent::config_builder()
       .max_redirects(0)
       .http_status_as_error(false)
       .proxy(None)
-      .timeout_connect(Some(CALL))
+      .timeout_connect(Some(CALL_TIMEOUT))
       .build();
     Self {
       address: settings.platform.clone(),
       agent: config.new_agent(),
       bucket: Mutex::new(Bucket::new(settings.limits.platform_rate, Moment::now())),
       cache: Mutex::default(),
-      longest: Duration::from_millis(settings.limits.platform_ms),
+      update_timeout: Duration::from_millis(settings.limits.platform_ms),
       calls: AtomicU64::new(0),
       failures: AtomicU64::new(0),
     }
@@ -130,8 +134,9 @@
     bucket.set_rate(rate);
   }
 
-  /// Waits for leave to make a call; false: not before `until`.
-  fn permit(&self, urgent: bool, until: Moment) -> bool {
+  /// Waits until the rate limit permits a call; returns false if that would be after
+  /// `deadline`.
+  fn acquire_permit(&self, urgent: bool, deadline: Moment) -> bool {
     loop {
       let now = Moment::now();
       let mut bucket = self.bucket.lock().unwrap_or_else(PoisonError::into_inner);
@@ -140,45 +145,45 @@
         Err(wait) => wait,
       };
       drop(bucket);
-      if now + wait > until {
+      if now + wait > deadline {
         return false;
       }
       std::thread::sleep(wait);
     }
   }
 
-  fn answer<T: DeserializeOwned>(
+  fn read_response<T: DeserializeOwned>(
     &self,
     result: Result<ureq::http::Response<ureq::Body>, ureq::Error>,
   ) -> Result<(u16, Option<T>), Error> {
     self.calls.fetch_add(1, Ordering::Relaxed);
     let read = |mut response: ureq::http::Response<ureq::Body>| {
       let status = response.status().as_u16();
-      let body = response.body_mut().with_config().limit(ANSWER_LIMIT);
+      let body = response.body_mut().with_config().limit(MAX_RESPONSE_BYTES);
       let text = body.read_to_string().ok()?;
       Some((status, serde_json::from_str(&text).ok()))
     };
-    let answer = result.ok().and_then(read);
-    if answer.as_ref().is_none_or(|(status, _)| *status >= 500) {
+    let response = result.ok().and_then(read);
+    if response.as_ref().is_none_or(|(status, _)| *status >= 500) {
       self.failures.fetch_add(1, Ordering::Relaxed);
     }
-    answer.ok_or(Error::Unavailable)
+    response.ok_or(Error::Unavailable)
   }
 
   fn get<T: DeserializeOwned>(&self, path: &str, wait: Duration) -> Result<Option<T>, Error> {
     let request = self.agent.get(format!("http://{}{path}", self.address));
     let request = request.config().timeout_global(Some(wait)).build();
-    match self.answer(request.call())? {
+    match self.read_response(request.call())? {
       (200, Some(value)) => Ok(Some(value)),
       (404, _) => Ok(None),
       _ => Err(Error::Unavailable),
     }
   }
 
-  /// Reads an object; version 0 when absent.
+  /// Reads an object; its version is 0 if it is absent.
   pub fn read(&self, name: &Name) -> Result<Object, Error> {
-    let found: Option<Read> = self.get(&format!("/objects/{name}"), CALL)?;
-    Ok(match found {
+    let response: Option<ReadResponse> = self.get(&format!("/objects/{name}"), CALL_TIMEOUT)?;
+    Ok(match response {
       Some(read) => Object {
         name: name.clone(),
         version: read.version,
@@ -192,12 +197,12 @@
     })
   }
 
-  /// Writes an object that still has `version`; answers the new version.
+  /// Writes an object if it still has `version`, and returns the new version.
   pub fn write(&self, name: &Name, version: u64, value: &str) -> Result<u64, Error> {
     let url = format!("http://{}/objects/{name}?version={version}", self.address);
     let request = self.agent.put(url);
-    let request = request.config().timeout_global(Some(CALL)).build();
-    match self.answer::<Written>(request.send(value))? {
+    let request = request.config().timeout_global(Some(CALL_TIMEOUT)).build();
+    match self.read_response::<WriteResponse>(request.send(value))? {
       (200, Some(written)) => Ok(written.version),
       (409, _) => Err(Error::Conflict),
       (400 | 413, _) => Err(Error::Declined),
@@ -205,39 +210,45 @@
     }
   }
 
-  /// Removes an object that still has `version`.
+  /// Removes an object if it still has `version`, and returns the new version.
   pub fn remove(&self, name: &Name, version: u64) -> Result<u64, Error> {
     let url = format!("http://{}/objects/{name}?version={version}", self.address);
     let request = self.agent.delete(url);
-    let request = request.config().timeout_global(Some(CALL)).build();
-    match self.answer::<Written>(request.call())? {
+    let request = request.config().timeout_global(Some(CALL_TIMEOUT)).build();
+    match self.read_response::<WriteResponse>(request.call())? {
       (200, Some(written)) => Ok(written.version),
       (409, _) => Err(Error::Conflict),
       _ => Err(Error::Unavailable),
     }
   }
 
-  /// Configuration changed after revision `after`, with the revision reached.
+  /// Waits up to `wait` for configuration that changed after revision `after`, and returns
+  /// it with the revision reached.
   pub fn watch(&self, after: u64, wait: Duration) -> Result<(u64, Vec<Object>), Error> {
-    let until = Moment::now() + CALL;
-    if !self.permit(false, until) {
+    let deadline = Moment::now() + CALL_TIMEOUT;
+    if !self.acquire_permit(false, deadline) {
       return Err(Error::Unavailable);
     }
     let kinds = Kind::CONFIGURED.map(Kind::as_str).join(",");
     let wait_ms = wait.as_millis();
-    let path = format!("/objects?kinds={kinds}&after={after}&wait={wait_ms}&limit={PAGE}");
-    let watched: Option<Watched> = self.get(&path, wait + CALL)?;
-    let watched = watched.ok_or(Error::Unavailable)?;
-    let objects = watched.objects.into_iter().filter_map(object).collect();
-    Ok((watched.revision, objects))
+    let path =
+      format!("/objects?kinds={kinds}&after={after}&wait={wait_ms}&limit={WATCH_PAGE_SIZE}");
+    let response: Option<WatchResponse> = self.get(&path, wait + CALL_TIMEOUT)?;
+    let response = response.ok_or(Error::Unavailable)?;
+    let objects = response
+      .objects
+      .into_iter()
+      .filter_map(decode_object)
+      .collect();
+    Ok((response.revision, objects))
   }
 
   /// The platform's list of machines.
   pub fn list(&self) -> Result<(u64, Vec<Listing>), Error> {
-    if !self.permit(false, Moment::now() + CALL) {
+    if !self.acquire_permit(false, Moment::now() + CALL_TIMEOUT) {
       return Err(Error::Unavailable);
     }
-    let machines: Option<Machines> = self.get("/instances", CALL)?;
+    let machines: Option<MachineList> = self.get("/instances", CALL_TIMEOUT)?;
     let machines = machines.ok_or(Error::Unavailable)?;
     let entries = machines.instances.into_iter().map(|machine| Listing {
       id: machine.id,
@@ -249,40 +260,40 @@
 
   /// Names and versions of the objects of a kind.
   pub fn names(&self, kind: Kind) -> Result<Vec<(String, u64)>, Error> {
-    if !self.permit(false, Moment::now() + CALL) {
+    if !self.acquire_permit(false, Moment::now() + CALL_TIMEOUT) {
       return Err(Error::Unavailable);
     }
-    let names = self.get(&format!("/names/{}", kind.as_str()), CALL)?;
+    let names = self.get(&format!("/names/{}", kind.as_str()), CALL_TIMEOUT)?;
     names.ok_or(Error::Unavailable)
   }
 
-  /// Reads an object of the system's own kinds, or changes it by conditional
-  /// update. A lost answer is resolved by reading back: changes are idempotent,
-  /// so one that took effect already counts as applied.
+  /// Reads an object of the system's own kinds, or changes it by conditional update. After
+  /// a lost response the object is read again: changes are idempotent, so a change that
+  /// already took effect counts as applied.
   pub fn update(&self, name: &Name, change: Option<&Change>, urgent: bool) -> Outcome {
-    let until = Moment::now() + self.longest;
+    let deadline = Moment::now() + self.update_timeout;
     let mut failures = 0;
     let mut base = change.and_then(|_| self.cached(name));
     loop {
-      if !self.permit(urgent, until) {
+      if !self.acquire_permit(urgent, deadline) {
         return Outcome::Unavailable;
       }
-      let step = match base.take() {
-        Some(stored) => self.change(name, stored, change, true),
+      let result = match base.take() {
+        Some(stored) => self.apply_change(name, stored, change, true),
         None => self
-          .load(name)
-          .and_then(|stored| self.change(name, stored, change, false)),
+          .read_stored(name)
+          .and_then(|stored| self.apply_change(name, stored, change, false)),
       };
-      match step {
+      match result {
         Ok(Some(outcome)) => return outcome,
         Ok(None) => {}
         Err(Error::Conflict) => {}
         Err(Error::Declined) => return Outcome::Unavailable,
         Err(Error::Unavailable) => failures += 1,
       }
-      let most = RETRY_MOST.min(RETRY * (1 << failures.min(5)));
-      let wait = most.mul_f64(rand::random_range(0.5..1.0));
-      if Moment::now() + wait > until {
+      let max_delay = MAX_RETRY_DELAY.min(RETRY_DELAY * (1 << failures.min(5)));
+      let wait = max_delay.mul_f64(rand::random_range(0.5..1.0));
+      if Moment::now() + wait > deadline {
         return Outcome::Unavailable;
       }
       if failures > 0 {
@@ -296,15 +307,15 @@
     cache.get(name).cloned()
   }
 
-  fn keep(&self, name: &Name, stored: &Stored) {
+  fn cache_object(&self, name: &Name, stored: &Stored) {
     let mut cache = self.cache.lock().unwrap_or_else(PoisonError::into_inner);
-    if cache.len() >= CACHED {
+    if cache.len() >= MAX_CACHED_OBJECTS {
       cache.clear();
     }
     cache.insert(name.clone(), stored.clone());
   }
 
-  fn load(&self, name: &Name) -> Result<Stored, Error> {
+  fn read_stored(&self, name: &Name) -> Result<Stored, Error> {
     let object = self.read(name)?;
     let value = match &object.value {
       Some(text) => Value::decode(name.kind, text).ok(),
@@ -316,9 +327,9 @@
     })
   }
 
-  /// Applies the change to a base. `None`: a cached base says nothing would
-  /// change, which only a fresh read may confirm.
-  fn change(
+  /// Applies the change to a base object. Returns `None` if a cached base would not change
+  /// or rejects the change, which only a new read may confirm.
+  fn apply_change(
     &self,
     name: &Name,
     mut stored: Stored,
@@ -330,19 +341,19 @@
     };
     match stored.value.apply(change) {
       Ok(false) | Err(_) if cached => Ok(None),
-      Err(why) => Ok(Some(Outcome::Rejected(why, stored))),
+      Err(rejection) => Ok(Some(Outcome::Rejected(rejection, stored))),
       Ok(false) => Ok(Some(Outcome::Applied(stored))),
       Ok(true) => {
         let text = serde_json::to_string(&stored.value).map_err(|_| Error::Declined)?;
         stored.version = self.write(name, stored.version, &text)?;
-        self.keep(name, &stored);
+        self.cache_object(name, &stored);
         Ok(Some(Outcome::Applied(stored)))
       }
     }
   }
 }
 
-fn object(changed: Changed) -> Option<Object> {
+fn decode_object(changed: ChangedObject) -> Option<Object> {
   Some(Object {
     name: Name::new(Kind::parse(&changed.kind)?, changed.name),
     version: changed.version,
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -1,4 +1,4 @@
-//! Placement and loading policies, as operators write them.
+//! Placement and loading policies, as written by operators.
 
 use crate::selector::Selector;
 use serde::{Deserialize, Serialize};
@@ -7,19 +7,19 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub enum KeepAlive {
-  /// A constant, in milliseconds.
+  /// A constant time in ms.
   Fixed(u64),
-  /// From the model's own inter-arrival history; at most this many milliseconds.
+  /// Derived from the model's inter-arrival history, up to this maximum in ms.
   Adaptive(u64),
 }
 
-/// Which idle replica gives way when memory is short.
+/// Which idle replica is evicted when memory is short.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub enum Evict {
-  /// The one idle longest.
+  /// The replica that has been idle longest.
   Oldest,
-  /// The one cheapest to load again, weighed by the time it has been idle.
+  /// The replica that is cheapest to load again, weighted by its idle time.
   #[default]
   Cheapest,
 }
@@ -30,12 +30,12 @@
 pub enum Place {
   /// The server with the fewest requests and loads.
   LeastLoaded,
-  /// The server with the least estimated time to first token.
+  /// The server with the shortest estimated time to the first token.
   #[default]
   Soonest,
 }
 
-/// A share of traffic, by hash of the caller.
+/// A share of the traffic, selected by the hash of the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Slice {
@@ -45,48 +45,48 @@
   pub to: u8,
 }
 
-/// A policy object.
+/// A policy.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "camelCase")]
 pub struct Policy {
-  /// Models and adapters under the policy.
+  /// Models and adapters to which the policy applies.
   #[serde(default)]
   pub models: Selector,
-  /// Backend servers they may be placed on.
+  /// Backend servers on which they may be placed.
   #[serde(default)]
   pub servers: Selector,
-  /// Higher wins where several match; ties go to the smaller name.
+  /// The highest precedence wins if several policies match, then the smallest name.
   #[serde(default)]
   pub precedence: i32,
   #[serde(default)]
   pub min_replicas: u32,
-  #[serde(default = "one")]
+  #[serde(default = "default_max_replicas")]
   pub max_replicas: u32,
-  #[serde(default = "keep_alive")]
+  #[serde(default = "default_keep_alive")]
   pub keep_alive: KeepAlive,
-  /// Waiting requests for each loaded replica that justify a further one.
-  #[serde(default = "further_at")]
+  /// Number of waiting requests per loaded replica at which another replica is loaded.
+  #[serde(default = "default_further_at")]
   pub further_at: u32,
   #[serde(default)]
   pub place: Place,
   #[serde(default)]
   pub evict: Evict,
-  /// Prefer an availability zone without a replica of the model.
+  /// Whether an availability zone without a replica of the model is preferred.
   #[serde(default)]
   pub spread: bool,
   #[serde(default)]
   pub slice: Option<Slice>,
 }
 
-fn one() -> u32 {
+fn default_max_replicas() -> u32 {
   1
 }
 
-fn further_at() -> u32 {
+fn default_further_at() -> u32 {
   16
 }
 
-fn keep_alive() -> KeepAlive {
+fn default_keep_alive() -> KeepAlive {
   KeepAlive::Adaptive(600_000)
 }
 
@@ -97,9 +97,9 @@
       servers: Selector::default(),
       precedence: 0,
       min_replicas: 0,
-      max_replicas: one(),
-      keep_alive: keep_alive(),
-      further_at: further_at(),
+      max_replicas: default_max_replicas(),
+      keep_alive: default_keep_alive(),
+      further_at: default_further_at(),
       place: Place::default(),
       evict: Evict::default(),
       spread: false,
@@ -109,7 +109,7 @@
 }
 
 impl Policy {
-  /// The policy of a routed model that no policy selects: as many replicas as its
+  /// Policy of a routed model that no policy selects, with as many replicas as its
   /// requests need.
   pub fn default_routed() -> Self {
     Self {
@@ -118,7 +118,7 @@
     }
   }
 
-  /// The first fault of the policy, naming field and value.
+  /// The first validation error, with field and value; `None` if the policy is valid.
   pub fn validation_error(&self) -> Option<String> {
     if self.max_replicas == 0 || self.max_replicas < self.min_replicas {
       return Some(format!(
@@ -140,16 +140,16 @@
     let models = self
       .models
       .validation_error()
-      .map(|fault| format!("models: {fault}"));
+      .map(|error| format!("models: {error}"));
     models.or_else(|| {
       self
         .servers
         .validation_error()
-        .map(|fault| format!("servers: {fault}"))
+        .map(|error| format!("servers: {error}"))
     })
   }
 
-  /// Whether the caller falls in the policy's share of traffic.
+  /// Whether the policy's share of the traffic includes the caller.
   pub fn includes_caller(&self, caller: u64) -> bool {
     self.slice.is_none_or(|slice| {
       let percentile = (caller % 100) as u8;
--- a/src/rendezvous.rs
+++ b/src/rendezvous.rs
@@ -1,4 +1,4 @@
-//! Highest-random-weight hashing: which member usually acts for a key.
+//! Rendezvous (highest random weight) hashing: which member normally owns a key.
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
@@ -10,7 +10,7 @@
   xxh3_64_with_seed(key.as_bytes(), 0)
 }
 
-/// The member that acts for `key`.
+/// The member with the highest weight for `key`; `None` without members.
 pub fn owner<'a>(members: &'a [String], key: &str) -> Option<&'a str> {
   let seed = seed(key);
   members
@@ -19,18 +19,18 @@
     .map(String::as_str)
 }
 
-/// Whether `member` is among the first `count` for `key`.
+/// Whether `member` is among the `count` members with the highest weights for `key`.
 pub fn is_top_ranked(members: &[String], key: &str, member: &str, count: usize) -> bool {
   let seed = seed(key);
-  let mine = weight(member, seed);
-  let ahead = members
+  let own_weight = weight(member, seed);
+  let higher = members
     .iter()
-    .filter(|other| *other != member && weight(other, seed) > mine);
-  ahead.count() < count
+    .filter(|other| *other != member && weight(other, seed) > own_weight);
+  higher.count() < count
 }
 
-/// The `count` members first for `key`.
-pub fn first(members: &[String], key: &str, count: usize) -> Vec<String> {
+/// The `count` members with the highest weights for `key`, in descending order.
+pub fn top_ranked(members: &[String], key: &str, count: usize) -> Vec<String> {
   let seed = seed(key);
   let mut ranked: Vec<_> = members.to_vec();
   ranked.sort_by_key(|member| std::cmp::Reverse(weight(member, seed)));
--- a/src/selector.rs
+++ b/src/selector.rs
@@ -1,12 +1,12 @@
-//! Label selectors: equality and set forms.
+//! Label selectors with equality-based and set-based requirements.
 
 use litemap::LiteMap;
 use serde::{Deserialize, Serialize};
 
-/// Labels of an object; few, so kept as a sorted list.
+/// Labels of an object, stored in a sorted list because they are few.
 pub type Labels = LiteMap<String, String>;
 
-/// A set form.
+/// Operator of a set-based requirement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Operator {
   In,
@@ -15,7 +15,7 @@
   DoesNotExist,
 }
 
-/// One set-form requirement.
+/// A set-based requirement.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Expression {
@@ -49,7 +49,7 @@
 }
 
 impl Selector {
-  /// Whether every requirement holds for `labels`.
+  /// Whether `labels` meet every requirement.
   pub fn matches(&self, labels: &Labels) -> bool {
     self
       .match_labels
@@ -61,13 +61,13 @@
         .all(|expression| expression.matches(labels))
   }
 
-  /// The first fault of the selector.
+  /// The first validation error; `None` if the selector is valid.
   pub fn validation_error(&self) -> Option<String> {
     self.match_expressions.iter().find_map(|expression| {
-      let needs = matches!(expression.operator, Operator::In | Operator::NotIn);
-      (needs == expression.values.is_empty()).then(|| {
+      let needs_values = matches!(expression.operator, Operator::In | Operator::NotIn);
+      (needs_values == expression.values.is_empty()).then(|| {
         format!(
-          "matchExpressions: operator `{:?}` on key `{}` with {} values",
+          "matchExpressions: operator `{:?}` on key `{}` does not accept {} values",
           expression.operator,
           expression.key,
           expression.values.len()
--- a/src/share.rs
+++ b/src/share.rs
@@ -1,8 +1,8 @@
-//! Demand reported to the owner of a model, and shares of slots handed out by it.
+//! Demand reported to the owner of a model, and shares of slots granted by the owner.
 //!
-//! The owner alone knows who has work, so it gives each instance a bound on its
-//! requests at a replica. Shares are soft state: without one an instance falls
-//! back on its own estimate of the replica's load.
+//! Only the owner knows which instances have requests, so it limits the requests of each
+//! instance at a replica. Shares are soft state: without one, an instance uses its own
+//! estimate of the replica's load.
 
 use crate::{
   effect::Effect,
@@ -15,7 +15,7 @@
 use std::collections::BTreeMap;
 
 impl State {
-  /// Reports to the owner of a group's model what this instance has of it.
+  /// Reports the demand of this instance for a group to the owner of its model.
   pub fn report_demand(&mut self, key: group::Key) {
     let group = &self.groups[key];
     let demand = Demand {
@@ -24,12 +24,14 @@
       at: self.now,
     };
     let reported = group.reported;
-    let same = reported.waiting == demand.waiting && reported.running == demand.running;
-    let idle = demand.waiting + demand.running + group.unreported_arrivals == 0;
-    let first = (reported.waiting == 0) != (demand.waiting == 0);
-    let due = self.now >= reported.at + DEMAND_REPORT_INTERVAL_MS / 4;
-    let repeat = self.now >= reported.at + DEMAND_REPORT_INTERVAL_MS;
-    if (idle && same) || !(first || (due && !same) || (repeat && !idle)) {
+    let is_unchanged = reported.waiting == demand.waiting && reported.running == demand.running;
+    let is_idle = demand.waiting + demand.running + group.unreported_arrivals == 0;
+    let starts_or_stops_waiting = (reported.waiting == 0) != (demand.waiting == 0);
+    let may_report = self.now >= reported.at + DEMAND_REPORT_INTERVAL_MS / 4;
+    let must_refresh = self.now >= reported.at + DEMAND_REPORT_INTERVAL_MS;
+    if (is_idle && is_unchanged)
+      || !(starts_or_stops_waiting || (may_report && !is_unchanged) || (must_refresh && !is_idle))
+    {
       return;
     }
     let arrived = std::mem::take(&mut self.groups[key].unreported_arrivals);
@@ -55,7 +57,7 @@
     }
   }
 
-  /// Sends a notice to an instance whose address is known.
+  /// Sends a notice to an instance if its address is known.
   pub fn notify(&mut self, instance: &str, notice: Notice) {
     if let Some(address) = self.peer_address(instance) {
       self.emit(Effect::Notify {
@@ -65,7 +67,7 @@
     }
   }
 
-  /// Takes up notices of another instance.
+  /// Processes notices of another instance.
   pub fn on_notified(&mut self, from: &str, items: Vec<Notice>) {
     for item in items {
       match item {
@@ -112,8 +114,8 @@
     self.dispatch_queued(key);
   }
 
-  /// Replicas decided for a group.
-  fn decided(&self, key: group::Key) -> Vec<Id> {
+  /// Replicas of a group that are decided to be loaded.
+  fn decided_replicas(&self, key: group::Key) -> Vec<Id> {
     let group = &self.groups[key];
     self
       .placement(&group.model)
@@ -123,7 +125,7 @@
       .collect()
   }
 
-  /// Hands out the slots of a group's replicas by demand.
+  /// Grants the slots of a group's replicas to instances in proportion to demand.
   pub fn grant_shares(&mut self, key: group::Key) {
     let group = &self.groups[key];
     if self.limits.dispatch == Dispatch::Push || !self.owned.contains_key(&group.model) {
@@ -134,22 +136,22 @@
       .iter()
       .filter(|(_, demand)| demand.at + SOFT_STATE_MS > self.now)
       .map(|(instance, demand)| (instance.clone(), demand.waiting + demand.running))
-      .filter(|(_, wants)| *wants > 0)
+      .filter(|(_, requests)| *requests > 0)
       .collect();
-    let ids = self.decided(key);
+    let ids = self.decided_replicas(key);
     let slots: Vec<(Id, u32)> = ids
       .into_iter()
       .filter_map(|id| Some((id, self.slots_of(key, id)?)))
       .collect();
-    let wanted: u32 = demand.values().sum();
-    let offered: u32 = slots.iter().map(|(_, slots)| slots).sum();
-    // Far below the slots nobody is in another's way.
-    if demand.is_empty() || wanted * 2 < offered {
+    let total_demand: u32 = demand.values().sum();
+    let total_slots: u32 = slots.iter().map(|(_, slots)| slots).sum();
+    // If demand is far below the slots, instances do not compete for them.
+    if demand.is_empty() || total_demand * 2 < total_slots {
       return;
     }
-    let turn = (self.now / SOFT_STATE_MS) as usize;
-    for (id, instance, slots) in divide(&slots, &demand, turn) {
-      self.give(key, id, &instance, slots);
+    let rotation = (self.now / SOFT_STATE_MS) as usize;
+    for (id, instance, slots) in divide(&slots, &demand, rotation) {
+      self.grant_share(key, id, &instance, slots);
     }
   }
 
@@ -159,14 +161,14 @@
     Some(self.spec(&replica.server)?.slots)
   }
 
-  fn give(&mut self, key: group::Key, id: Id, instance: &str, slots: u32) {
+  fn grant_share(&mut self, key: group::Key, id: Id, instance: &str, slots: u32) {
     let now = self.now;
-    let given = (id, instance.to_string());
-    let fresh = |share: &Share| share.slots == slots && share.until > now + SOFT_STATE_MS / 2;
+    let share_key = (id, instance.to_string());
+    let is_fresh = |share: &Share| share.slots == slots && share.until > now + SOFT_STATE_MS / 2;
     if self.groups[key]
       .granted_shares
-      .get(&given)
-      .is_some_and(fresh)
+      .get(&share_key)
+      .is_some_and(is_fresh)
     {
       return;
     }
@@ -176,7 +178,7 @@
       .retain(|_, share| share.until > now);
     self.groups[key]
       .granted_shares
-      .insert(given, Share { slots, until });
+      .insert(share_key, Share { slots, until });
     if instance == self.me.instance {
       let share = Share { slots, until };
       self.groups[key].shares.insert(id, share);
@@ -194,38 +196,38 @@
   }
 }
 
-/// Divides the slots of each replica in proportion to demand, by largest
-/// remainder; `turn` moves ties on, so that none starves.
+/// Divides the slots of each replica in proportion to demand by the largest remainder
+/// method. `rotation` rotates the order of ties so that no instance starves.
 pub fn divide(
   replicas: &[(Id, u32)],
   demand: &BTreeMap<String, u32>,
-  turn: usize,
+  rotation: usize,
 ) -> Vec<(Id, String, u32)> {
-  let total: u64 = demand.values().map(|wants| u64::from(*wants)).sum();
-  let count = demand.len();
+  let total: u64 = demand.values().map(|requests| u64::from(*requests)).sum();
+  let instance_count = demand.len();
   let mut shares = Vec::new();
   for (id, slots) in replicas {
     let slots = u64::from(*slots);
     let mut parts: Vec<(u64, u64, usize, &String)> = demand
       .iter()
       .enumerate()
-      .map(|(at, (instance, wants))| {
-        let exact = slots * u64::from(*wants);
-        let tie = (at + turn) % count;
+      .map(|(index, (instance, requests))| {
+        let exact = slots * u64::from(*requests);
+        let tie = (index + rotation) % instance_count;
         (exact / total, exact % total, tie, instance)
       })
       .collect();
-    let mut left = slots - parts.iter().map(|part| part.0).sum::<u64>();
+    let mut remaining = slots - parts.iter().map(|part| part.0).sum::<u64>();
     parts.sort_by_key(|part| (std::cmp::Reverse(part.1), part.2));
     for part in &mut parts {
-      let more = u64::from(left > 0);
-      part.0 += more;
-      left -= more;
+      let extra = u64::from(remaining > 0);
+      part.0 += extra;
+      remaining -= extra;
     }
-    let given = parts
+    let granted = parts
       .into_iter()
       .map(|(slots, _, _, instance)| (*id, instance.clone(), slots as u32));
-    shares.extend(given);
+    shares.extend(granted);
   }
   shares
 }
--- a/src/submissions.rs
+++ b/src/submissions.rs
@@ -1,4 +1,4 @@
-//! Batches, as callers submit, poll and cancel them.
+//! API by which callers submit, poll and cancel batches.
 
 use crate::{
   batch::{Batch, Change, Item, MAX_BATCH_BYTES},
@@ -15,8 +15,8 @@
 use serde::Deserialize;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Items of one batch, at most.
-const ITEMS: usize = 10_000;
+/// Maximum number of items in one batch.
+const MAX_ITEMS: usize = 10_000;
 
 #[derive(Deserialize)]
 struct BatchBody {
@@ -24,7 +24,7 @@
   prompts: Vec<String>,
   #[serde(default)]
   max_tokens: Option<u32>,
-  /// Time until the outcomes are wanted, ms.
+  /// Time in ms within which every item must have an outcome.
   completion_window_ms: u64,
 }
 
@@ -65,9 +65,9 @@
 
 fn check_batch(body: BatchBody) -> Result<BatchBody, String> {
   let count = body.prompts.len();
-  if count == 0 || count > ITEMS {
+  if count == 0 || count > MAX_ITEMS {
     return Err(format!(
-      "prompts: `{count}` items are not within 1..={ITEMS}"
+      "prompts: `{count}` items are not within 1..={MAX_ITEMS}"
     ));
   }
   let window = body.completion_window_ms;
@@ -81,7 +81,7 @@
 
 /// Submits, polls or cancels a batch.
 pub fn handle(shared: &Shared, request: &mut Request, id: &str, change: Option<Change>) {
-  let submits = matches!(change, Some(Change::Submit(_)));
+  let is_submission = matches!(change, Some(Change::Submit(_)));
   let (ticket, directives) = shared.open_ticket();
   shared.notify(Event::BatchRequested {
     ticket,
@@ -93,7 +93,7 @@
   match directive {
     Some(Directive::Batch(Outcome::Applied(stored))) => match stored.value {
       Value::Batch(batch) if !batch.prompts.is_empty() => {
-        let status = if submits { 202 } else { 200 };
+        let status = if is_submission { 202 } else { 200 };
         reply::json(request, status, &describe(id, &batch));
       }
       _ => reply::error(
@@ -103,7 +103,7 @@
         &format!("batch: `{id}` is unknown"),
       ),
     },
-    Some(Directive::Batch(Outcome::Rejected(..))) if submits => {
+    Some(Directive::Batch(Outcome::Rejected(..))) if is_submission => {
       let text = "idempotency-key: another batch was submitted under it";
       reply::error(request, 409, "conflict", text);
     }
@@ -115,15 +115,16 @@
         &format!("batch: `{id}` is unknown"),
       );
     }
-    _ => reply::refuse(request, unavailable(submits)),
+    _ => reply::refuse(request, unavailable_refusal(is_submission)),
   }
 }
 
-/// A submission whose write was not answered may stand all the same.
-fn unavailable(submits: bool) -> Refusal {
+/// Refusal for a missing response. A submission whose write was not confirmed may still
+/// take effect.
+fn unavailable_refusal(is_submission: bool) -> Refusal {
   Refusal {
     reason: Reason::PlatformUnavailable,
-    verdict: match submits {
+    verdict: match is_submission {
       true => Verdict::MayHaveRun,
       false => Verdict::NotRun,
     },
--- a/src/update.rs
+++ b/src/update.rs
@@ -3,7 +3,7 @@
 use crate::{batch, claim, ledger, object::Kind, record};
 use serde::{Deserialize, Serialize};
 
-/// A change of one object of the system's own kinds.
+/// Change of one object of the kinds that the system itself writes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
   Model(record::Change),
@@ -23,7 +23,7 @@
   Batch(batch::Rejection),
 }
 
-/// The value of an object of the system's own kinds.
+/// Value of an object of the kinds that the system itself writes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum Value {
@@ -40,19 +40,20 @@
   pub value: Value,
 }
 
-/// What became of an update or a read.
+/// Outcome of an update or a read.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Outcome {
-  /// The object holds the change; or, for a read, this is the object.
+  /// The stored object contains the change; for a read, the object as read.
   Applied(Stored),
-  /// The object does not take the change.
+  /// The object rejected the change.
   Rejected(Rejection, Stored),
-  /// The platform did not answer in time; the change may have been applied.
+  /// The platform did not respond in time; the change may have been applied.
   Unavailable,
 }
 
 impl Value {
-  /// The value of an absent object of `kind`.
+  /// Value that stands for an absent object of `kind`; `None` if the system does not write
+  /// this kind.
   pub fn absent(kind: Kind) -> Option<Self> {
     match kind {
       Kind::ModelRecord => Some(Self::Model(record::Record::default())),
@@ -63,7 +64,7 @@
     }
   }
 
-  /// Reads the value of an object of `kind`.
+  /// Decodes the JSON value of an object of `kind`.
   pub fn decode(kind: Kind, text: &str) -> Result<Self, serde_json::Error> {
     match kind {
       Kind::ModelRecord => serde_json::from_str(text).map(Self::Model),
@@ -73,7 +74,7 @@
     }
   }
 
-  /// Applies a change; true when the value differs afterwards.
+  /// Applies a change and returns whether the value changed.
   pub fn apply(&mut self, change: &Change) -> Result<bool, Rejection> {
     match (self, change) {
       (Self::Model(record), Change::Model(change)) => {
