--- a/src/batches.rs
+++ b/src/batches.rs
@@ -27,7 +27,8 @@
 const RESPONSE_TIMEOUT_MS: u64 = 15_000;
 /// Delay before a refused item is retried.
 const ITEM_RETRY_DELAY_MS: u64 = 500;
-/// Multiple of the estimated run time that is left before the deadline.
+/// Items run as interactive requests once at most this multiple of the estimated run time
+/// is left before the deadline.
 const DEADLINE_MARGIN: u64 = 3;
 /// Time after its deadline for which a finished batch can still be polled.
 const RETENTION_MS: u64 = 86_400_000;
--- a/src/claims.rs
+++ b/src/claims.rs
@@ -345,7 +345,7 @@
     }
   }
 
-  /// Flushes the shards that have queued changes and no group in flight.
+  /// Writes queued changes whose batching delay is over, in shards without a group in flight.
   pub fn flush_due_claims(&mut self) {
     let due = |queue: &ShardQueue| !queue.pending.is_empty() && queue.in_flight.is_none();
     let queues = self.claims.queues.iter();
--- a/src/members.rs
+++ b/src/members.rs
@@ -7,7 +7,7 @@
 };
 use std::collections::BTreeMap;
 
-/// Maximum number of other instances for which each of them is a neighbour.
+/// Up to this number of other instances, all of them are neighbours.
 const MAX_FULL_MESH_PEERS: usize = 8;
 /// Number of ring successors among the neighbours in a larger fleet.
 const RING_SUCCESSORS: usize = 3;
@@ -17,7 +17,7 @@
 /// View of the fleet, derived from facts.
 #[derive(Clone, Debug, Default)]
 pub struct Members {
-  /// Instances that are alive and not leaving, sorted.
+  /// Instances that are alive and not leaving, sorted. Only these own keys.
   pub live: Vec<String>,
   /// Instances with which this one exchanges facts.
   pub neighbours: Vec<String>,
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -60,12 +60,12 @@
   pub precedence: i32,
   #[serde(default)]
   pub min_replicas: u32,
-  #[serde(default = "default_max_replicas")]
+  #[serde(default = "one")]
   pub max_replicas: u32,
-  #[serde(default = "default_keep_alive")]
+  #[serde(default = "keep_alive")]
   pub keep_alive: KeepAlive,
   /// Number of waiting requests per loaded replica at which another replica is loaded.
-  #[serde(default = "default_further_at")]
+  #[serde(default = "further_at")]
   pub further_at: u32,
   #[serde(default)]
   pub place: Place,
@@ -78,15 +78,15 @@
   pub slice: Option<Slice>,
 }
 
-fn default_max_replicas() -> u32 {
+fn one() -> u32 {
   1
 }
 
-fn default_further_at() -> u32 {
+fn further_at() -> u32 {
   16
 }
 
-fn default_keep_alive() -> KeepAlive {
+fn keep_alive() -> KeepAlive {
   KeepAlive::Adaptive(600_000)
 }
 
@@ -97,9 +97,9 @@
       servers: Selector::default(),
       precedence: 0,
       min_replicas: 0,
-      max_replicas: default_max_replicas(),
-      keep_alive: default_keep_alive(),
-      further_at: default_further_at(),
+      max_replicas: one(),
+      keep_alive: keep_alive(),
+      further_at: further_at(),
       place: Place::default(),
       evict: Evict::default(),
       spread: false,
--- a/src/update.rs
+++ b/src/update.rs
@@ -3,7 +3,7 @@
 use crate::{batch, claim, ledger, object::Kind, record};
 use serde::{Deserialize, Serialize};
 
-/// Change of one object of the kinds that the system itself writes.
+/// A change of one object of the system's own kinds.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
   Model(record::Change),
@@ -23,7 +23,7 @@
   Batch(batch::Rejection),
 }
 
-/// Value of an object of the kinds that the system itself writes.
+/// The value of an object of the system's own kinds.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum Value {
@@ -52,8 +52,8 @@
 }
 
 impl Value {
-  /// Value that stands for an absent object of `kind`; `None` if the system does not write
-  /// this kind.
+  /// The value of an absent object of `kind`; `None` for a kind that is not updated this
+  /// way.
   pub fn absent(kind: Kind) -> Option<Self> {
     match kind {
       Kind::ModelRecord => Some(Self::Model(record::Record::default())),
