--- a/src/apply.rs
+++ b/src/apply.rs
@@ -9,7 +9,7 @@
   catalog::Catalog,
   object::{Kind, Name, Object},
   platform::{self, Client},
-  settings::{Error, Settings, jsonc},
+  settings::{Error, Settings, parse_jsonc},
 };
 use error_stack::{Report, ResultExt};
 use serde::Deserialize;
@@ -39,7 +39,7 @@
 /// Reads and checks the objects of a file.
 pub fn read(path: &Path) -> Result<Vec<(Name, Value)>, String> {
   let text = std::fs::read_to_string(path).map_err(|error| error.to_string())?;
-  match jsonc(&text)? {
+  match parse_jsonc(&text)? {
     Value::Array(objects) => objects.into_iter().map(object).collect(),
     value => Ok(vec![object(value)?]),
   }
@@ -61,12 +61,12 @@
 }
 
 /// Faults of a file of settings or of an object.
-pub fn faults(path: &Path) -> Vec<String> {
+pub fn validation_errors(path: &Path) -> Vec<String> {
   let text = match std::fs::read_to_string(path) {
     Ok(text) => text,
     Err(error) => return vec![error.to_string()],
   };
-  let value = match jsonc(&text) {
+  let value = match parse_jsonc(&text) {
     Ok(value) => value,
     Err(error) => return vec![error],
   };
--- a/src/callers.rs
+++ b/src/callers.rs
@@ -3,7 +3,7 @@
 use crate::{
   batch::Change,
   completions,
-  instance::STACK,
+  instance::STACK_BYTES,
   refusal::{Reason, Refusal},
   reply,
   request::Class,
@@ -38,7 +38,7 @@
     request_timeout: Duration::from_millis(limits.caller_stall_ms),
     idle_timeout: Duration::from_millis(limits.caller_idle_ms),
     write_timeout: Duration::from_millis(limits.caller_stall_ms),
-    stack_bytes: STACK,
+    stack_bytes: STACK_BYTES,
   };
   let busy_body = reply::refusal_body(queue_full()).to_string();
   let handler_shared = shared.clone();
--- a/src/compare.rs
+++ b/src/compare.rs
@@ -40,7 +40,7 @@
 
 impl Sample {
   /// What the lines say of a policy.
-  pub fn of<'a>(lines: impl Iterator<Item = &'a Line>, policy: &str) -> Self {
+  pub fn new<'a>(lines: impl Iterator<Item = &'a Line>, policy: &str) -> Self {
     let mut sample = Self::default();
     for line in lines {
       sample.take(&line.entry, policy);
@@ -144,8 +144,8 @@
   }
   let lines = || gathered.lines.iter().map(|(_, line)| line);
   let samples = [
-    (first.as_str(), Sample::of(lines(), first)),
-    (second.as_str(), Sample::of(lines(), second)),
+    (first.as_str(), Sample::new(lines(), first)),
+    (second.as_str(), Sample::new(lines(), second)),
   ];
   print!("{}", table(&samples));
   if let Some(path) = plot {
--- a/src/completions.rs
+++ b/src/completions.rs
@@ -8,7 +8,7 @@
   event::Event,
   reply::{self, Reply},
   request::{Class, Descriptor, Ticket, Work},
-  shared::{Directive, Shared, ended},
+  shared::{Directive, Shared, notify_attempt_ended},
   web::Request,
 };
 use serde::Deserialize;
@@ -149,7 +149,7 @@
     if end == End::Whole {
       reply.finish();
     }
-    ended(shared, &attempt, end, None);
+    notify_attempt_ended(shared, &attempt, end, None);
     if matches!(end, End::Whole | End::CallerGone) {
       return;
     }
@@ -198,7 +198,7 @@
 
 /// Responds with the list of models in the current catalog.
 pub fn models(shared: &Shared, request: &mut Request) {
-  let names = shared.look(|state| state.catalog.models.keys().cloned().collect::<Vec<_>>());
+  let names = shared.query(|state| state.catalog.models.keys().cloned().collect::<Vec<_>>());
   let models: Vec<_> = names
     .unwrap_or_default()
     .into_iter()
--- a/src/departures.rs
+++ b/src/departures.rs
@@ -21,7 +21,7 @@
 
 /// The last send of one instance to a server that had left.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Last {
+pub struct LastSend {
   /// After the departure was first named, ms; 0: nothing was sent after it.
   pub after_ms: u64,
   pub server: String,
@@ -38,11 +38,11 @@
 }
 
 /// The last sends to servers that left for good, the latest first.
-pub fn last_sends(mut lines: Vec<Line>) -> Vec<Last> {
+pub fn last_sends(mut lines: Vec<Line>) -> Vec<LastSend> {
   lines.sort_by(|one, two| one.at.total_cmp(&two.at));
   let departures = left(&lines);
   let mut last: BTreeMap<(&str, &str), u64> = BTreeMap::new();
-  for line in lines.iter().filter(|line| line.what() == "sent") {
+  for line in lines.iter().filter(|line| line.message() == "sent") {
     let (Some(server), Some(instance)) = (line.text("server"), line.text("instance")) else {
       continue;
     };
@@ -55,9 +55,9 @@
     let known = last.entry((server, instance)).or_default();
     *known = after_ms.max(*known);
   }
-  let mut last: Vec<Last> = last
+  let mut last: Vec<LastSend> = last
     .into_iter()
-    .map(|((server, instance), after_ms)| Last {
+    .map(|((server, instance), after_ms)| LastSend {
       after_ms,
       server: server.into(),
       instance: instance.into(),
@@ -77,7 +77,7 @@
     };
     let draining = line.text("stage") == Some("Draining");
     let departure = |said| Departure { named: line, said };
-    match line.what() {
+    match line.message() {
       "server says that it leaves" => {
         departures.entry(server).or_insert(departure(true));
       }
@@ -97,7 +97,7 @@
 }
 
 /// Rows of the histogram: from so many ms on, and how many last sends.
-pub fn histogram(last: &[Last]) -> BTreeMap<u64, usize> {
+pub fn histogram(last: &[LastSend]) -> BTreeMap<u64, usize> {
   let mut rows = BTreeMap::new();
   for one in last {
     *rows.entry(one.after_ms / ROW_MS * ROW_MS).or_default() += 1;
--- a/src/engine.rs
+++ b/src/engine.rs
@@ -147,7 +147,7 @@
 
 impl Sequence {
   /// A sequence for an attempt whose caller has `delivered` tokens.
-  pub fn open(attempt: &str, delivered: usize) -> Self {
+  pub fn new(attempt: &str, delivered: usize) -> Self {
     Self {
       attempt: attempt.into(),
       next: delivered,
@@ -157,7 +157,7 @@
   }
 
   /// Takes a line of the stream; answers the tokens now due, in order.
-  pub fn take(&mut self, line: &str) -> Vec<String> {
+  pub fn push(&mut self, line: &str) -> Vec<String> {
     let Some(data) = line.strip_prefix("data: ") else {
       return Vec::new();
     };
@@ -179,7 +179,7 @@
   }
 
   /// Whether the whole answer was taken.
-  pub fn whole(&self) -> bool {
+  pub fn is_complete(&self) -> bool {
     self.total == Some(self.next)
   }
 }
@@ -210,7 +210,7 @@
     429 | 503 | 404 => return End::Declined,
     _ => return End::Broken(Verdict::MayHaveRun),
   }
-  let mut sequence = Sequence::open(&completion.attempt, completion.resume.len());
+  let mut sequence = Sequence::new(&completion.attempt, completion.resume.len());
   let reader = response.into_body().into_reader();
   let mut lines = BufReader::new(std::io::Read::take(reader, u64::MAX));
   let mut line = String::new();
@@ -220,12 +220,12 @@
     if !matches!(read, Ok(length) if length > 0) {
       return End::Broken(Verdict::MayHaveRun);
     }
-    for text in sequence.take(line.trim_end()) {
+    for text in sequence.push(line.trim_end()) {
       if !token(text) {
         return End::CallerGone;
       }
     }
-    if sequence.whole() {
+    if sequence.is_complete() {
       return End::Whole;
     }
   }
--- a/src/entry.rs
+++ b/src/entry.rs
@@ -332,7 +332,7 @@
         "route" => &route.name, "reason" => refusal.reason.as_str(), "verdict" => "not-run",
         "version" => deployment.version, "waited_ms" => 0,
         "keys_age_ms" => hub.gates.deployments.sure_age().map(|age| age.as_millis() as u64));
-      hub.measures.refusal(&refusal);
+      hub.measures.record_refusal(&refusal);
       return write_response(
         socket,
         &relay::refusal_answer(&refusal, keep_alive),
--- a/src/explain.rs
+++ b/src/explain.rs
@@ -47,7 +47,7 @@
   }
 
   /// What the line is about.
-  pub fn what(&self) -> &str {
+  pub fn message(&self) -> &str {
     self.text("msg").unwrap_or_default()
   }
 }
@@ -78,7 +78,7 @@
       .collect()
   };
   let (models, servers, instances) = (named("model"), named("server"), named("instance"));
-  let concerns = |line: &Line| match line.what() {
+  let concerns = |line: &Line| match line.message() {
     "planned" | "ordered" => {
       let model = line.text("model").and_then(|model| model.split('/').next());
       model.is_some_and(|model| models.contains(model))
@@ -107,7 +107,7 @@
   };
   let waited = last.fields.get("waited_ms").and_then(Value::as_u64);
   let waited = waited.unwrap_or_default();
-  match last.what() {
+  match last.message() {
     "sent" => format!(
       "send {} to `{}` ended as {} ({}); it had waited {waited} ms",
       last.fields.get("send").unwrap_or(&Value::Null),
@@ -128,7 +128,7 @@
 
 fn print(line: &Line) {
   let instance = line.text("instance").unwrap_or_default();
-  let mut text = format!("{} {instance} {}", line.time, line.what());
+  let mut text = format!("{} {instance} {}", line.time, line.message());
   for (field, value) in &line.fields {
     if !matches!(
       field.as_str(),
--- a/src/feed/mod.rs
+++ b/src/feed/mod.rs
@@ -183,7 +183,7 @@
 
   fn read(&mut self) {
     let (began, age) = (Moment::now(), self.gate.age());
-    match self.store.all(self.kind) {
+    match self.store.list_all(self.kind) {
       Ok((_, revision)) if self.from.is_some_and(|from| revision.era < from.era) => {
         let error = Error::Malformed(format!("era: `{}` is over", revision.era));
         self.fail("list", began, &error);
--- a/src/hub.rs
+++ b/src/hub.rs
@@ -112,7 +112,7 @@
 impl Hub {
   /// Creates a hub around a state.
   pub fn new(state: State, dialect: Dialect, log: Logger) -> io::Result<Arc<Self>> {
-    let measures = Measures::open().map_err(|error| io::Error::other(error.to_string()))?;
+    let measures = Measures::new().map_err(|error| io::Error::other(error.to_string()))?;
     Ok(Arc::new(Self {
       log,
       dialect,
--- a/src/instance.rs
+++ b/src/instance.rs
@@ -40,7 +40,7 @@
 const ORDER_THREADS: usize = 8;
 const POLL_THREADS: usize = 4;
 /// Stack of a thread that carries a request, bytes.
-pub const STACK: usize = 192 << 10;
+pub const STACK_BYTES: usize = 192 << 10;
 
 /// A running instance.
 pub struct Instance {
@@ -171,14 +171,14 @@
   fn carry_out(&self, effect: Effect) {
     let shared = self.shared.clone();
     match effect {
-      Effect::Send(attempt) => shared.direct(attempt.ticket, Directive::Send(attempt)),
-      Effect::Refuse { ticket, refusal } => shared.direct(ticket, Directive::Refuse(refusal)),
+      Effect::Send(attempt) => shared.send(attempt.ticket, Directive::Send(attempt)),
+      Effect::Refuse { ticket, refusal } => shared.send(ticket, Directive::Refuse(refusal)),
       Effect::Replay {
         ticket,
         status,
         body,
-      } => shared.direct(ticket, Directive::Replay { status, body }),
-      Effect::BatchAnswer { ticket, outcome } => shared.direct(ticket, Directive::Batch(outcome)),
+      } => shared.send(ticket, Directive::Replay { status, body }),
+      Effect::BatchAnswer { ticket, outcome } => shared.send(ticket, Directive::Batch(outcome)),
       Effect::RunItem { .. } => self.run_item(effect),
       Effect::Update {
         tag,
@@ -231,7 +231,7 @@
       Effect::ClaimAnswer { call, outcomes } => self.port.answer_claims(call, outcomes),
       Effect::Watch(on) => shared.watching.store(on, Ordering::Relaxed),
       Effect::LimitPlatformRate(rate) => shared.platform.set_rate(rate),
-      Effect::Log(entry) => shared.note(entry),
+      Effect::Log(entry) => shared.record(entry),
       Effect::Stopped => {}
     }
   }
@@ -251,7 +251,9 @@
       return;
     };
     let shared = self.shared.clone();
-    let builder = thread::Builder::new().name("item".into()).stack_size(STACK);
+    let builder = thread::Builder::new()
+      .name("item".into())
+      .stack_size(STACK_BYTES);
     let run = {
       let (shared, id) = (shared.clone(), id.clone());
       move || {
--- a/src/losses.rs
+++ b/src/losses.rs
@@ -33,7 +33,7 @@
   /// Its last send failed, with why.
   Failed(String),
   /// Its caller left while it waited.
-  Left,
+  CallerGone,
   /// Its log ends before it does: its instance ended, or the log.
   Unfinished,
 }
@@ -49,7 +49,7 @@
       Self::Pause => f.write_str("pause between events"),
       Self::Refused(reason) => write!(f, "refused: {reason}"),
       Self::Failed(why) => write!(f, "failed: {why}"),
-      Self::Left => f.write_str("caller left"),
+      Self::CallerGone => f.write_str("caller left"),
       Self::Unfinished => f.write_str("unfinished"),
     }
   }
@@ -69,10 +69,10 @@
 pub fn table(mut lines: Vec<Line>) -> Table {
   lines.sort_by(|one, two| one.at.total_cmp(&two.at));
   let planned = times(&lines, |line| {
-    line.what() == "planned" && line.text("what") == Some("load")
+    line.message() == "planned" && line.text("what") == Some("load")
   });
   let ordered = times(&lines, |line| {
-    line.what() == "ordered"
+    line.message() == "ordered"
       && line.text("act") == Some("Load")
       && line.text("adapter").is_none()
       && line.text("taken") == Some("Accepted")
@@ -112,11 +112,11 @@
 fn cause(own: &[&Line], planned: &Times, ordered: &Times) -> Option<Cause> {
   let last = own.last()?;
   let text = |field: &str| last.text(field).unwrap_or_default().to_string();
-  match (last.what(), text("end").as_str(), text("late").as_str()) {
+  match (last.message(), text("end").as_str(), text("late").as_str()) {
     ("sent", "Whole", "no") => None,
     ("sent", "Whole", "pause") => Some(Cause::Pause),
     ("sent", "Whole", _) => Some(late(own, last, planned, ordered)),
-    ("sent", "Left", _) | ("caller left", ..) => Some(Cause::Left),
+    ("sent", "Left", _) | ("caller left", ..) => Some(Cause::CallerGone),
     ("sent", ..) => Some(Cause::Failed(text("why"))),
     ("refused", ..) => Some(Cause::Refused(text("reason"))),
     ("no route", ..) => Some(Cause::Refused("no-route".into())),
@@ -126,7 +126,7 @@
 
 /// What a request that came late waited for most.
 fn late(own: &[&Line], last: &Line, planned: &Times, ordered: &Times) -> Cause {
-  let Some(waiting) = own.iter().find(|line| line.what() == "waiting") else {
+  let Some(waiting) = own.iter().find(|line| line.message() == "waiting") else {
     return Cause::Server;
   };
   let took = last.fields.get("took_ms").and_then(Value::as_f64);
--- a/src/measures.rs
+++ b/src/measures.rs
@@ -50,7 +50,7 @@
 
 impl Measures {
   /// Opens the instruments.
-  pub fn open() -> Result<Self, Box<dyn std::error::Error>> {
+  pub fn new() -> Result<Self, Box<dyn std::error::Error>> {
     let exporter = Exporter::open()?;
     let meter = exporter.meter();
     Ok(Self {
@@ -81,12 +81,12 @@
   }
 
   /// A request was taken.
-  pub fn request(&self) {
+  pub fn record_request(&self) {
     self.requests.add(1, &[]);
   }
 
   /// A send has ended.
-  pub fn send(&self, send: &Send) {
+  pub fn record_send(&self, send: &Send) {
     self.sends.add(1, &[label("end", send.end.as_str())]);
     match send.number {
       1 => self.wait.record(ms(send.waited_ms), &[]),
@@ -102,45 +102,45 @@
   }
 
   /// A request was refused.
-  pub fn refusal(&self, refusal: &Refusal) {
+  pub fn record_refusal(&self, refusal: &Refusal) {
     let reason = label("reason", refusal.reason.as_str());
     let verdict = label("verdict", refusal.verdict.as_str());
     self.refusals.add(1, &[reason, verdict]);
   }
 
   /// Requests are kept from servers from now on.
-  pub fn quarantined(&self, requests: usize) {
+  pub fn record_quarantined(&self, requests: usize) {
     self.quarantined.add(requests as u64, &[]);
   }
 
   /// A caller left while its request waited.
-  pub fn left(&self) {
+  pub fn record_caller_gone(&self) {
     self.left.add(1, &[]);
   }
 
   /// A connection to a server came up.
-  pub fn connection(&self) {
+  pub fn record_connection(&self) {
     self.connections.add(1, &[]);
   }
 
   /// An order has its outcome.
-  pub fn order(&self, act: Act, taken: Taken) {
+  pub fn record_order(&self, act: Act, taken: Taken) {
     let act = label("act", act.as_str());
     self.orders.add(1, &[act, label("taken", taken.as_str())]);
   }
 
   /// A lease was taken.
-  pub fn lease(&self) {
+  pub fn record_lease(&self) {
     self.leases.add(1, &[]);
   }
 
   /// The store does not answer for a kind.
-  pub fn lost(&self, kind: &str) {
+  pub fn record_store_lost(&self, kind: &str) {
     self.lost.add(1, &[label("kind", kind)]);
   }
 
   /// An entry of the store is faulty.
-  pub fn faulty(&self, kind: &str) {
+  pub fn record_invalid_entry(&self, kind: &str) {
     self.faulty.add(1, &[label("kind", kind)]);
   }
 
--- a/src/operators.rs
+++ b/src/operators.rs
@@ -34,7 +34,7 @@
       Some(status) => Response::json(&status),
       None => Response::text("no status").with_status_code(503),
     },
-    "/configuration" => match shared.look(Configuration::of) {
+    "/configuration" => match shared.query(Configuration::of) {
       Some(configuration) => Response::json(&configuration),
       None => Response::text("no configuration").with_status_code(503),
     },
--- a/src/planner.rs
+++ b/src/planner.rs
@@ -423,7 +423,7 @@
             "act" => format!("{:?}", command.act), "model" => &command.model.name,
             "adapter" => &command.model.adapter, "orders" => command.orders,
             "term" => command.term, "taken" => format!("{taken:?}"));
-          self.hub.measures.order(command.act, taken);
+          self.hub.measures.record_order(command.act, taken);
           self.groups[index]
             .plan
             .record_order_result(now, &command, taken);
@@ -478,7 +478,7 @@
     }
     if group.lease.record_call_result(now, call, result) {
       let term = group.lease.term(now).unwrap_or_default();
-      self.hub.measures.lease();
+      self.hub.measures.record_lease();
       info!(self.hub.log, "lease taken"; "lease" => &group.name, "term" => term);
       group.plan.start_term(now, term);
       // Policies read under an earlier term may be outdated.
@@ -539,7 +539,7 @@
       self.waker.clone(),
     );
     self.calls.run(move || {
-      let policies = edge.store.all(edge.kinds.policies);
+      let policies = edge.store.list_all(edge.kinds.policies);
       let _ = completion_sender.send(Completion::Policies(policies.map(|(objects, _)| objects)));
       waker.wake();
     });
--- a/src/quarantine.rs
+++ b/src/quarantine.rs
@@ -211,7 +211,7 @@
   }
 
   fn enforce(&self, entries: Vec<Quarantined>) {
-    self.hub.measures.quarantined(entries.len());
+    self.hub.measures.record_quarantined(entries.len());
     self.hub.apply(Event::Quarantined(entries), None);
   }
 
--- a/src/relay/caller.rs
+++ b/src/relay/caller.rs
@@ -131,7 +131,7 @@
 
   /// The final answer to a request that is not served.
   pub(super) fn refuse(&mut self, refusal: Refusal) {
-    self.hub.measures.refusal(&refusal);
+    self.hub.measures.record_refusal(&refusal);
     info!(self.hub.log, "refused"; "request" => &self.id, "route" => &self.incoming.route.name,
       "reason" => refusal.reason.as_str(), "verdict" => refusal.verdict.as_str(),
       "model" => self.model(), "begun" => self.begun.is_some(),
--- a/src/relay/mod.rs
+++ b/src/relay/mod.rs
@@ -154,7 +154,7 @@
     held: None,
     then: if keep { Then::Keep } else { Then::Close },
   };
-  hub.measures.request();
+  hub.measures.record_request();
   mailbox.waker.clear();
   mailbox.take();
   hub.apply(Event::Arrived(ask), Some(ticket));
@@ -223,7 +223,7 @@
 
   /// The caller has gone while its request waited.
   fn leave(&mut self) {
-    self.hub.measures.left();
+    self.hub.measures.record_caller_gone();
     info!(self.hub.log, "caller left"; "request" => &self.id, "phase" => "waiting",
       "waited_ms" => self.hub.now() - self.incoming.arrived);
     self.then = Then::Close;
@@ -247,7 +247,7 @@
 
   fn note(&self, attempt: &Attempt, result: &Outcome, sent: u64, age: Option<Duration>) {
     let now = self.hub.now();
-    self.hub.measures.send(&measures::Send {
+    self.hub.measures.record_send(&measures::Send {
       number: attempt.number,
       end: result.end,
       waited_ms: sent.saturating_sub(self.incoming.arrived),
--- a/src/relay/send.rs
+++ b/src/relay/send.rs
@@ -57,7 +57,7 @@
       return outcome(End::Unreached, "no connection");
     };
     if !used {
-      self.hub.measures.connection();
+      self.hub.measures.record_connection();
     }
     if self.hub.now() >= self.until {
       return outcome(End::Unsent, "time over while the connection came up");
@@ -100,7 +100,7 @@
   fn refuses(&self, attempt: &Attempt) -> bool {
     match Socket::connect(attempt.address, LOOK) {
       Ok(socket) => {
-        self.hub.measures.connection();
+        self.hub.measures.record_connection();
         self.hub.pool.keep(attempt.backend, socket, None);
         false
       }
--- a/src/router.rs
+++ b/src/router.rs
@@ -54,7 +54,7 @@
   /// Binds the ports and starts the feeds.
   pub fn spawn(settings: &Settings, edge: Edge, log: Logger) -> io::Result<Self> {
     let routing = settings.routing.clone().unwrap_or_default();
-    let state = State::new(&settings.zone, routing.bound(), rand::random());
+    let state = State::new(&settings.zone, routing.retry_bound(), rand::random());
     let hub = Hub::new(state, edge.dialect, log)?;
     hub.state().set_quota_bound(routing.quota_bound());
     if routing.revoke_ms > 0 {
@@ -84,7 +84,7 @@
   pub fn reload(&self, settings: Result<Settings, error_stack::Report<settings::Error>>) {
     match settings {
       Ok(settings) => {
-        let bound = settings.routing.unwrap_or_default().bound();
+        let bound = settings.routing.unwrap_or_default().retry_bound();
         info!(self.hub.log, "settings reloaded"; "retry_ratio" => bound.ratio,
           "retry_slack" => bound.slack, "retry_window_ms" => bound.window_ms);
         self.hub.state().retry_bound = bound;
@@ -138,7 +138,7 @@
             .filter_map(|(object, removed)| (!removed).then_some(object))
             .collect(),
           feed::Event::Lost => {
-            hub.measures.lost(edge.kinds.deployments);
+            hub.measures.record_store_lost(edge.kinds.deployments);
             return false;
           }
           // The servers' feed reports the state of the store.
@@ -202,7 +202,7 @@
           Ok(spec) => Change::Set(spec),
           Err(fault) => {
             if invalid_entries.insert(object) {
-              hub.measures.faulty(edge.kinds.servers);
+              hub.measures.record_invalid_entry(edge.kinds.servers);
               warn!(hub.log, "server entry is invalid and is ignored"; "server" => &object.name,
               "revision" => %object.revision, "fault" => fault);
             }
@@ -219,7 +219,7 @@
             })
             .collect(),
           feed::Event::Lost => {
-            hub.measures.lost(edge.kinds.servers);
+            hub.measures.record_store_lost(edge.kinds.servers);
             hub.apply(Event::StoreLost, None);
             return false;
           }
--- a/src/run.rs
+++ b/src/run.rs
@@ -132,7 +132,7 @@
 }
 
 /// Runs an instance that routes requests; `edge` makes its edges.
-pub fn route(edge: fn(&Settings) -> Result<Edge, String>) -> ExitCode {
+pub fn run_router(edge: fn(&Settings) -> Result<Edge, String>) -> ExitCode {
   match routed(edge) {
     Ok(code) => code,
     Err(report) => {
@@ -187,7 +187,7 @@
   }
   let mut code = ExitCode::SUCCESS;
   for file in &options.rest {
-    for fault in apply::faults(std::path::Path::new(file)) {
+    for fault in apply::validation_errors(std::path::Path::new(file)) {
       eprintln!("{file}: {fault}");
       code = ExitCode::FAILURE;
     }
--- a/src/services.rs
+++ b/src/services.rs
@@ -7,7 +7,7 @@
   event::Event,
   reply,
   request::{Descriptor, Work},
-  shared::{Directive, Shared, ended},
+  shared::{Directive, Shared, notify_attempt_ended},
   verdict::Verdict,
   web::Request,
 };
@@ -70,7 +70,7 @@
 
 fn is_repeatable(shared: &Shared, service: &str, path: &str) -> bool {
   let (service, path) = (service.to_string(), path.to_string());
-  let repeatable = shared.look(move |state| {
+  let repeatable = shared.query(move |state| {
     let service = state.catalog.services.get(&service);
     service.is_some_and(|service| service.repeatable.contains(&path))
   });
@@ -112,18 +112,18 @@
   let response = match request.and_then(|request| call::send(request, timeouts)) {
     Ok(response) => response,
     Err(failure) => {
-      ended(shared, attempt, End::Broken(failure.verdict), None);
+      notify_attempt_ended(shared, attempt, End::Broken(failure.verdict), None);
       return None;
     }
   };
   match reply::Answer::read(response, shared.settings.limits.body_bytes) {
     Some(answer) => {
       let recorded = (answer.status, answer.text());
-      ended(shared, attempt, End::Whole, Some(recorded));
+      notify_attempt_ended(shared, attempt, End::Whole, Some(recorded));
       Some(answer)
     }
     None => {
-      ended(shared, attempt, End::Broken(Verdict::MayHaveRun), None);
+      notify_attempt_ended(shared, attempt, End::Broken(Verdict::MayHaveRun), None);
       None
     }
   }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -215,7 +215,7 @@
 
 impl Routing {
   /// The budget of repeats.
-  pub fn bound(&self) -> crate::retry::Bound {
+  pub fn retry_bound(&self) -> crate::retry::Bound {
     crate::retry::Bound {
       ratio: self.retry_ratio,
       slack: self.retry_slack,
@@ -267,7 +267,7 @@
 
   /// Reads and checks settings.
   pub fn parse(text: &str) -> Result<Self, String> {
-    let value = jsonc(text)?;
+    let value = parse_jsonc(text)?;
     let settings: Self = serde_json::from_value(value).map_err(|error| error.to_string())?;
     match settings.fault() {
       Some(fault) => Err(fault),
@@ -328,6 +328,6 @@
 }
 
 /// Parses JSON with comments.
-pub fn jsonc(text: &str) -> Result<serde_json::Value, String> {
+pub fn parse_jsonc(text: &str) -> Result<serde_json::Value, String> {
   jsonc_parser::parse_to_serde_value(text, &Default::default()).map_err(|error| error.to_string())
 }
--- a/src/shared.rs
+++ b/src/shared.rs
@@ -96,7 +96,7 @@
   }
 
   /// Notifies a request's thread how it goes on.
-  pub fn direct(&self, ticket: Ticket, directive: Directive) {
+  pub fn send(&self, ticket: Ticket, directive: Directive) {
     if let Some(sender) = lock(&self.directives).get(&ticket) {
       // The request's thread has ended: nobody is left to notify.
       let _ = sender.send(directive);
@@ -104,7 +104,7 @@
   }
 
   /// What a look at the state finds; none when the reducer does not answer.
-  pub fn look<T: Send + 'static>(
+  pub fn query<T: Send + 'static>(
     &self,
     look: impl FnOnce(&State) -> T + Send + 'static,
   ) -> Option<T> {
@@ -119,7 +119,7 @@
 
   /// The instance's state, for operators.
   pub fn status(&self) -> Option<Status> {
-    let status = self.look(Status::of)?;
+    let status = self.query(Status::of)?;
     let sent = self.traffic.sent.load(Ordering::Relaxed);
     let received = self.traffic.received.load(Ordering::Relaxed);
     Some(Status {
@@ -137,7 +137,7 @@
   }
 
   /// Records a change of state.
-  pub fn note(&self, entry: Entry) {
+  pub fn record(&self, entry: Entry) {
     self.metrics.count(&entry);
     if !entry.is_count() {
       info!(self.log, "changed"; journal::Fields(&entry));
@@ -147,7 +147,12 @@
 }
 
 /// Notifies the reducer of an attempt's end.
-pub fn ended(shared: &Shared, attempt: &Attempt, end: End, answer: Option<(u16, Option<String>)>) {
+pub fn notify_attempt_ended(
+  shared: &Shared,
+  attempt: &Attempt,
+  end: End,
+  answer: Option<(u16, Option<String>)>,
+) {
   shared.notify(Event::AttemptEnded {
     ticket: attempt.ticket,
     number: attempt.number,
--- a/src/statement/margin.rs
+++ b/src/statement/margin.rs
@@ -43,7 +43,7 @@
 /// Sends by instance and server, in order of time.
 fn sends(lines: &[Line]) -> BTreeMap<(&str, &str), Vec<Send<'_>>> {
   let mut sends: BTreeMap<(&str, &str), Vec<Send>> = BTreeMap::new();
-  for line in lines.iter().filter(|line| line.what() == "sent") {
+  for line in lines.iter().filter(|line| line.message() == "sent") {
     if let (Some(instance), Some(server)) = (line.text("instance"), line.text("server")) {
       let sends = sends.entry((instance, server)).or_default();
       sends.push(Send::of(line));
--- a/src/store.rs
+++ b/src/store.rs
@@ -130,7 +130,7 @@
 impl Store {
   /// All objects of a kind, page by page, and the store's revision at the first page:
   /// changes after it come again with a watch from there.
-  pub fn all(&self, kind: &str) -> Result<(Vec<Object>, Revision)> {
+  pub fn list_all(&self, kind: &str) -> Result<(Vec<Object>, Revision)> {
     let mut objects: Vec<Object> = Vec::new();
     let mut revision: Option<Revision> = None;
     loop {
--- a/src/watchers.rs
+++ b/src/watchers.rs
@@ -43,7 +43,7 @@
     let answer = shared.platform.watch(after, WATCH);
     if answer.is_ok() != reached {
       reached = answer.is_ok();
-      shared.note(match reached {
+      shared.record(match reached {
         true => Entry::PlatformBack,
         false => Entry::PlatformLost,
       });
--- a/tests/departures.rs
+++ b/tests/departures.rs
@@ -1,7 +1,7 @@
 //! How long instances go on sending to servers that have left, from their logs.
 
 use bendsaddle::{
-  departures::{Last, histogram, last_sends},
+  departures::{LastSend, histogram, last_sends},
   explain::Line,
   statement::margin::{after_leaving, in_rests},
 };
@@ -32,7 +32,7 @@
 }
 
 /// What each instance's last send comes to, by its name.
-fn after(last: &[Last]) -> Vec<(&str, u64)> {
+fn after(last: &[LastSend]) -> Vec<(&str, u64)> {
   let mut after: Vec<(&str, u64)> = last
     .iter()
     .map(|one| (one.instance.as_str(), one.after_ms))
--- a/tests/fuzz.rs
+++ b/tests/fuzz.rs
@@ -199,7 +199,7 @@
   fn property(text: Text) -> bool {
     let path = std::env::temp_dir().join(format!("bendsaddle-fuzz-{}", std::process::id()));
     std::fs::write(&path, &text.0).unwrap();
-    drop(apply::faults(&path));
+    drop(apply::validation_errors(&path));
     true
   }
   check(6, property as fn(Text) -> bool);
@@ -208,9 +208,9 @@
 #[test]
 fn a_token_stream_of_any_lines_is_never_whole_by_chance() {
   fn property(lines: Vec<Text>) -> bool {
-    let mut sequence = Sequence::open("attempt", 0);
-    let tokens: usize = lines.iter().map(|line| sequence.take(&line.0).len()).sum();
-    tokens == 0 && !sequence.whole()
+    let mut sequence = Sequence::new("attempt", 0);
+    let tokens: usize = lines.iter().map(|line| sequence.push(&line.0).len()).sum();
+    tokens == 0 && !sequence.is_complete()
   }
   check(7, property as fn(Vec<Text>) -> bool);
 }
@@ -224,13 +224,13 @@
       .map(|at| format!("data: {{\"attempt\":\"a\",\"index\":{at},\"text\":\"t{at} \"}}"))
       .collect();
     lines.push(format!("data: {{\"attempt\":\"a\",\"total\":{TOKENS}}}"));
-    let mut sequence = Sequence::open("a", 0);
+    let mut sequence = Sequence::new("a", 0);
     let picks = order.iter().map(|pick| usize::from(*pick) % lines.len());
     let mut text = String::new();
     for pick in picks.chain(0..lines.len()) {
-      text += &sequence.take(&lines[pick]).concat();
+      text += &sequence.push(&lines[pick]).concat();
     }
-    sequence.whole() && text == "t0 t1 t2 t3 t4 t5 t6 t7 "
+    sequence.is_complete() && text == "t0 t1 t2 t3 t4 t5 t6 t7 "
   }
   check(8, property as fn(Vec<u8>) -> bool);
 }
--- a/tests/policies.rs
+++ b/tests/policies.rs
@@ -262,8 +262,8 @@
 #[test]
 fn a_comparison_counts_each_policys_own_and_gives_intervals() {
   let all = [lines("a", 40, 100), lines("b", 40, 900)].concat();
-  let a = Sample::of(all.iter(), "a");
-  let b = Sample::of(all.iter(), "b");
+  let a = Sample::new(all.iter(), "a");
+  let b = Sample::new(all.iter(), "b");
   assert_eq!((a.cold.len(), b.cold.len()), (40, 40));
   assert_eq!(a.idle_time().value, 21.0);
   let (slow, quick) = (b.cold_start(0.95), a.cold_start(0.95));
@@ -275,7 +275,7 @@
 #[test]
 fn a_small_sample_is_said_to_be_small() {
   let few = lines("a", 3, 100);
-  let sample = Sample::of(few.iter(), "a");
+  let sample = Sample::new(few.iter(), "a");
   assert!(table(&[("a", sample)]).contains("too small to judge: 3 cold starts, below 30"));
 }
 
@@ -317,7 +317,7 @@
     for entry in std::fs::read_dir(folder).unwrap() {
       let path = entry.unwrap().path();
       assert_eq!(
-        bendsaddle::apply::faults(&path),
+        bendsaddle::apply::validation_errors(&path),
         Vec::<String>::new(),
         "{path:?}"
       );
