--- a/src/apply.rs
+++ b/src/apply.rs
@@ -1,9 +1,10 @@
-//! Version-controlled objects: checked, and put into the platform.
+//! The `apply` and `get` commands, and the validation of version-controlled
+//! configuration objects.
 //!
-//! A file holds one object or a list of them, as JSON with comments:
+//! A file contains one object or a list of objects as JSON with comments:
 //! `{"kind", "name", "spec"}`.
-//! `apply` writes by conditional update against the version it read, so an edit
-//! that another made meanwhile is reported and never overwritten.
+//! `apply` updates conditionally on the version it read, so a concurrent edit is
+//! reported and never overwritten.
 
 use crate::{
   catalog::Catalog,
@@ -21,13 +22,12 @@
   time::Duration,
 };
 
-/// Reads of an object before it counts as not to be had: a busy platform may leave one
-/// without an answer.
-const READS: u32 = 4;
-/// Pause between two of them.
-const READ_PAUSE: Duration = Duration::from_millis(200);
+/// Attempts to read an object before giving up: a busy platform may not respond to some.
+const MAX_READS: u32 = 4;
+/// Delay between two of these attempts.
+const READ_RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// An object, as a file holds it.
+/// An object as written in a file.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct File {
@@ -36,22 +36,22 @@
   spec: Value,
 }
 
-/// Reads and checks the objects of a file.
+/// Reads and validates the objects of a file.
 pub fn read(path: &Path) -> Result<Vec<(Name, Value)>, String> {
   let text = std::fs::read_to_string(path).map_err(|error| error.to_string())?;
   match parse_jsonc(&text)? {
-    Value::Array(objects) => objects.into_iter().map(object).collect(),
-    value => Ok(vec![object(value)?]),
+    Value::Array(objects) => objects.into_iter().map(parse_object).collect(),
+    value => Ok(vec![parse_object(value)?]),
   }
 }
 
-fn object(value: Value) -> Result<(Name, Value), String> {
+fn parse_object(value: Value) -> Result<(Name, Value), String> {
   let file: File = serde_json::from_value(value).map_err(|error| error.to_string())?;
   let kind = Kind::parse(&file.kind).filter(|kind| Kind::CONFIGURED.contains(kind));
-  let kind = kind.ok_or_else(|| format!("kind: `{}` is not configuration", file.kind))?;
+  let kind = kind.ok_or_else(|| format!("kind: `{}` is not a configuration kind", file.kind))?;
   if file.name.is_empty() || file.name.contains(['/', '?', ' ']) {
     return Err(format!(
-      "name: `{}` is empty or holds `/`, `?` or a space",
+      "name: `{}` is empty or contains `/`, `?` or a space",
       file.name
     ));
   }
@@ -60,7 +60,7 @@
   Ok((name, file.spec))
 }
 
-/// Faults of a file of settings or of an object.
+/// Validation errors of a settings file or an object file.
 pub fn validation_errors(path: &Path) -> Vec<String> {
   let text = match std::fs::read_to_string(path) {
     Ok(text) => text,
@@ -70,19 +70,19 @@
     Ok(value) => value,
     Err(error) => return vec![error],
   };
-  let fault = match value.get("kind") {
+  let error = match value.get("kind") {
     None if value.is_object() => Settings::parse(&text).err(),
     _ => read(path).err(),
   };
-  fault.into_iter().collect()
+  error.into_iter().collect()
 }
 
-fn files(folder: &Path) -> Result<Vec<PathBuf>, Report<Error>> {
-  let unreadable = || Error(format!("could not read `{}`", folder.display()));
-  let entries = std::fs::read_dir(folder).change_context_lazy(unreadable)?;
+fn files(directory: &Path) -> Result<Vec<PathBuf>, Report<Error>> {
+  let read_error = || Error(format!("could not read `{}`", directory.display()));
+  let entries = std::fs::read_dir(directory).change_context_lazy(read_error)?;
   let mut files = Vec::new();
   for entry in entries {
-    let path = entry.change_context_lazy(unreadable)?.path();
+    let path = entry.change_context_lazy(read_error)?.path();
     let extension = path.extension().and_then(|extension| extension.to_str());
     if matches!(extension, Some("json" | "jsonc")) {
       files.push(path);
@@ -107,30 +107,34 @@
   })
 }
 
-/// Puts every object of a folder into the platform; all are checked first.
-pub fn apply(rest: &[String], platform: &str) -> Result<ExitCode, Report<Error>> {
-  let [folder] = rest else {
-    return Err(Report::new(Error("apply: name one folder".into())));
+/// Writes all objects of a directory to the platform, after validating all of them.
+pub fn apply(args: &[String], platform: &str) -> Result<ExitCode, Report<Error>> {
+  let [directory] = args else {
+    return Err(Report::new(Error(
+      "apply: one directory is required".into(),
+    )));
   };
   let mut objects = Vec::new();
   let mut catalog = Catalog::default();
-  for path in files(Path::new(folder))? {
-    let fault = |fault| Report::new(Error(format!("{}: {fault}", path.display())));
-    for (name, spec) in read(&path).map_err(fault)? {
-      catalog.put(&name, Some(&spec.to_string())).map_err(fault)?;
+  for path in files(Path::new(directory))? {
+    let file_error = |error| Report::new(Error(format!("{}: {error}", path.display())));
+    for (name, spec) in read(&path).map_err(file_error)? {
+      catalog
+        .put(&name, Some(&spec.to_string()))
+        .map_err(file_error)?;
       objects.push((name, spec));
     }
   }
-  if let Some(fault) = catalog.dangling().first() {
-    return Err(Report::new(Error(fault.clone())));
+  if let Some(error) = catalog.dangling().first() {
+    return Err(Report::new(Error(error.clone())));
   }
   let client = client(platform);
   let mut code = ExitCode::SUCCESS;
   for (name, spec) in objects {
     match put(&client, &name, &spec) {
-      Ok(said) => println!("{name}: {said}"),
-      Err(fault) => {
-        eprintln!("{name}: {fault}");
+      Ok(result) => println!("{name}: {result}"),
+      Err(error) => {
+        eprintln!("{name}: {error}");
         code = ExitCode::FAILURE;
       }
     }
@@ -138,60 +142,65 @@
   Ok(code)
 }
 
-/// Reads an object; a read without answer changes nothing and is repeated.
-fn read_held(client: &Client, name: &Name) -> Result<Object, platform::Error> {
-  for _ in 1..READS {
+/// Reads an object. A failed read is retried, which is safe because it changes nothing.
+fn read_with_retries(client: &Client, name: &Name) -> Result<Object, platform::Error> {
+  for _ in 1..MAX_READS {
     match client.read(name) {
-      Ok(held) => return Ok(held),
+      Ok(object) => return Ok(object),
       Err(error) => {
-        eprintln!("{name}: not read, read again: {error:?}");
-        thread::sleep(READ_PAUSE);
+        eprintln!("{name}: read failed, retrying: {error:?}");
+        thread::sleep(READ_RETRY_DELAY);
       }
     }
   }
   client.read(name)
 }
 
-/// Writes one object against the version just read.
+/// Writes an object conditionally on the version just read.
 pub fn put(client: &Client, name: &Name, spec: &Value) -> Result<String, String> {
-  let held = read_held(client, name).map_err(|_| "platform unavailable; nothing written")?;
-  let same = |held: &Option<String>| {
-    let value = held
+  let current =
+    read_with_retries(client, name).map_err(|_| "platform unavailable; nothing written")?;
+  let matches_spec = |stored: &Option<String>| {
+    let value = stored
       .as_deref()
       .and_then(|text| serde_json::from_str::<Value>(text).ok());
     value.as_ref() == Some(spec)
   };
-  if same(&held.value) {
-    return Ok(format!("unchanged at version {}", held.version));
+  if matches_spec(&current.value) {
+    return Ok(format!("unchanged at version {}", current.version));
   }
-  match client.write(name, held.version, &spec.to_string()) {
+  match client.write(name, current.version, &spec.to_string()) {
     Ok(version) => Ok(format!("written as version {version}")),
     Err(platform::Error::Conflict) => {
       Err("another edit came first; read it and apply again".into())
     }
-    Err(platform::Error::Declined) => Err("the platform declines the value".into()),
-    // The answer was lost: what stands there now shows it.
-    Err(platform::Error::Unavailable) => match read_held(client, name) {
-      Ok(now) if same(&now.value) => Ok(format!("written as version {}", now.version)),
-      Ok(now) if now.version == held.version => Err("platform unavailable; not written".into()),
+    Err(platform::Error::Declined) => Err("the platform rejected the value".into()),
+    // The response was lost; the current object shows whether the write was done.
+    Err(platform::Error::Unavailable) => match read_with_retries(client, name) {
+      Ok(latest) if matches_spec(&latest.value) => {
+        Ok(format!("written as version {}", latest.version))
+      }
+      Ok(latest) if latest.version == current.version => {
+        Err("platform unavailable; not written".into())
+      }
       Ok(_) => Err("another edit came first; read it and apply again".into()),
       Err(_) => Err("platform unavailable; may have been written".into()),
     },
   }
 }
 
-/// Prints objects of the platform.
-pub fn get(rest: &[String], platform: &str) -> Result<ExitCode, Report<Error>> {
+/// Prints objects of the platform, or their names and versions.
+pub fn get(args: &[String], platform: &str) -> Result<ExitCode, Report<Error>> {
   let client = client(platform);
   let unavailable = |_| Report::new(Error("platform unavailable".into()));
-  let kinds = match rest.first() {
+  let kinds = match args.first() {
     None => Kind::CONFIGURED.to_vec(),
-    Some(word) => {
-      let unknown = || Report::new(Error(format!("kind: `{word}` is unknown")));
-      vec![Kind::parse(word).ok_or_else(unknown)?]
+    Some(kind) => {
+      let unknown = || Report::new(Error(format!("kind: `{kind}` is unknown")));
+      vec![Kind::parse(kind).ok_or_else(unknown)?]
     }
   };
-  if let Some(name) = rest.get(1) {
+  if let Some(name) = args.get(1) {
     let object = client
       .read(&Name::new(kinds[0], name))
       .map_err(unavailable)?;
--- a/src/compare.rs
+++ b/src/compare.rs
@@ -1,92 +1,93 @@
-//! `compare`: two policies on both measures, with confidence intervals.
+//! The `compare` command: compares two policies by cold-start time and idle accelerator
+//! time, with confidence intervals.
 
 use crate::{
   journal::{Entry, Line},
   settings::Error,
-  timeline::gather,
+  timeline::fetch_timeline,
 };
 use error_stack::{Report, ResultExt};
 use plotters::prelude::*;
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use std::{collections::BTreeMap, path::Path, process::ExitCode};
 
-/// Resamples of a confidence interval.
+/// Number of resamples per confidence interval.
 const RESAMPLES: usize = 1_000;
-/// Fewer cold starts than this say little of a tail.
-const ENOUGH_COLD: usize = 30;
-/// Fewer models than this say little of idle time.
-const ENOUGH_MODELS: usize = 5;
+/// With fewer cold starts than this, tail quantiles are not meaningful.
+const MIN_COLD_STARTS: usize = 30;
+/// With fewer models than this, idle time is not meaningful.
+const MIN_MODELS: usize = 5;
 
-/// What was recorded of one policy.
+/// Records of one policy.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Sample {
-  /// Waits of requests that needed a load, seconds.
+  /// Waits of requests that needed a load, in seconds.
   pub cold: Vec<f64>,
-  /// Requests that needed none.
+  /// Number of requests that needed no load.
   pub warm: usize,
-  /// Idle time by model, seconds.
+  /// Idle time by model, in seconds.
   pub idle: BTreeMap<String, f64>,
   pub refusals: usize,
   pub loads: usize,
 }
 
-/// A figure with the interval that holds it in 95 of 100 resamples.
+/// A statistic and the interval that contains it in 95 of 100 resamples.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Figure {
+pub struct Estimate {
   pub value: f64,
   pub low: f64,
   pub high: f64,
 }
 
 impl Sample {
-  /// What the lines say of a policy.
+  /// Collects the records of `policy` from `lines`.
   pub fn new<'a>(lines: impl Iterator<Item = &'a Line>, policy: &str) -> Self {
     let mut sample = Self::default();
     for line in lines {
-      sample.take(&line.entry, policy);
+      sample.add(&line.entry, policy);
     }
     sample
   }
 
-  fn take(&mut self, entry: &Entry, wanted: &str) {
+  fn add(&mut self, entry: &Entry, selected: &str) {
     match entry {
       Entry::Cold {
         policy, waited_ms, ..
-      } if policy == wanted => self.cold.push(seconds(*waited_ms)),
-      Entry::Warm { policy, .. } if policy == wanted => self.warm += 1,
-      Entry::Idle { model, policy, ms } if policy == wanted => {
+      } if policy == selected => self.cold.push(seconds(*waited_ms)),
+      Entry::Warm { policy, .. } if policy == selected => self.warm += 1,
+      Entry::Idle { model, policy, ms } if policy == selected => {
         *self.idle.entry(model.clone()).or_default() += seconds(*ms);
       }
-      Entry::Refused { policy, .. } if policy == wanted => self.refusals += 1,
-      Entry::Decided { policy, .. } if policy == wanted => self.loads += 1,
+      Entry::Refused { policy, .. } if policy == selected => self.refusals += 1,
+      Entry::Decided { policy, .. } if policy == selected => self.loads += 1,
       _ => {}
     }
   }
 
-  /// Requests that got their dispatch.
+  /// Number of dispatched requests.
   pub fn requests(&self) -> usize {
     self.cold.len() + self.warm
   }
 
-  /// Why the sample is too small, if it is.
+  /// Why the sample is too small; `None` if it is large enough.
   pub fn too_small(&self) -> Option<String> {
-    if self.cold.len() < ENOUGH_COLD {
+    if self.cold.len() < MIN_COLD_STARTS {
       return Some(format!(
-        "{} cold starts, below {ENOUGH_COLD}",
+        "{} cold starts, below {MIN_COLD_STARTS}",
         self.cold.len()
       ));
     }
     let models = self.idle.len();
-    (models < ENOUGH_MODELS).then(|| format!("{models} models, below {ENOUGH_MODELS}"))
+    (models < MIN_MODELS).then(|| format!("{models} models, below {MIN_MODELS}"))
   }
 
-  /// A quantile of the waits for a load.
-  pub fn cold_start(&self, part: f64) -> Figure {
-    interval(&self.cold, |values| quantile(values, part))
+  /// The `fraction` quantile of the waits for a load.
+  pub fn cold_start(&self, fraction: f64) -> Estimate {
+    interval(&self.cold, |values| quantile(values, fraction))
   }
 
-  /// Idle accelerator time, resampled by model.
-  pub fn idle_time(&self) -> Figure {
+  /// Total idle accelerator time, resampled by model.
+  pub fn idle_time(&self) -> Estimate {
     let by_model: Vec<f64> = self.idle.values().copied().collect();
     interval(&by_model, |values| values.iter().sum())
   }
@@ -96,20 +97,20 @@
   ms as f64 / 1_000.0
 }
 
-/// The value below which `part` of the values lie; 0 without values.
-pub fn quantile(values: &[f64], part: f64) -> f64 {
+/// The `fraction` quantile of the values; 0 if there are none.
+pub fn quantile(values: &[f64], fraction: f64) -> f64 {
   let mut sorted = values.to_vec();
   sorted.sort_by(f64::total_cmp);
-  let rank = (sorted.len() as f64 * part).ceil() as usize;
+  let rank = (sorted.len() as f64 * fraction).ceil() as usize;
   let index = rank.saturating_sub(1).min(sorted.len().saturating_sub(1));
   sorted.get(index).copied().unwrap_or_default()
 }
 
-/// A statistic with its bootstrap interval; the same for the same values.
-fn interval(values: &[f64], statistic: impl Fn(&[f64]) -> f64) -> Figure {
+/// A statistic with its bootstrap interval; deterministic for the same values.
+fn interval(values: &[f64], statistic: impl Fn(&[f64]) -> f64) -> Estimate {
   let value = statistic(values);
   if values.is_empty() {
-    return Figure {
+    return Estimate {
       value,
       low: value,
       high: value,
@@ -118,44 +119,46 @@
   let mut rng = SmallRng::seed_from_u64(values.len() as u64);
   let mut resampled = Vec::with_capacity(RESAMPLES);
   for _ in 0..RESAMPLES {
-    let draw = || values[rng.random_range(0..values.len())];
-    let drawn: Vec<f64> = std::iter::repeat_with(draw).take(values.len()).collect();
-    resampled.push(statistic(&drawn));
+    let pick = || values[rng.random_range(0..values.len())];
+    let resample: Vec<f64> = std::iter::repeat_with(pick).take(values.len()).collect();
+    resampled.push(statistic(&resample));
   }
-  Figure {
+  Estimate {
     value,
     low: quantile(&resampled, 0.025),
     high: quantile(&resampled, 0.975),
   }
 }
 
-/// Prints both policies side by side, and draws them.
+/// Prints both policies side by side, and plots them if `plot` is set.
 pub fn compare(
-  rest: &[String],
+  args: &[String],
   instance: &str,
   plot: Option<&Path>,
 ) -> Result<ExitCode, Report<Error>> {
-  let [first, second] = rest else {
-    return Err(Report::new(Error("compare: name two policies".into())));
+  let [first, second] = args else {
+    return Err(Report::new(Error(
+      "compare: two policies are required".into(),
+    )));
   };
-  let gathered = gather(instance)?;
-  for member in &gathered.silent {
-    eprintln!("{}: no answer; its share is missing", member.instance);
+  let timeline = fetch_timeline(instance)?;
+  for member in &timeline.unreachable {
+    eprintln!("{}: no response; its records are missing", member.instance);
   }
-  let lines = || gathered.lines.iter().map(|(_, line)| line);
+  let lines = || timeline.lines.iter().map(|(_, line)| line);
   let samples = [
     (first.as_str(), Sample::new(lines(), first)),
     (second.as_str(), Sample::new(lines(), second)),
   ];
   print!("{}", table(&samples));
   if let Some(path) = plot {
-    let failed = || Error(format!("could not draw `{}`", path.display()));
-    draw(&samples, path).change_context_lazy(failed)?;
+    let plot_error = || Error(format!("could not plot `{}`", path.display()));
+    plot_cold_starts(&samples, path).change_context_lazy(plot_error)?;
   }
   Ok(ExitCode::SUCCESS)
 }
 
-/// The comparison as text.
+/// Formats the comparison as text.
 pub fn table(samples: &[(&str, Sample)]) -> String {
   let mut text = String::new();
   let mut row = |name: &str, cell: &dyn Fn(&Sample) -> String| {
@@ -164,33 +167,33 @@
       .map(|(_, sample)| format!("{:>28}", cell(sample)));
     text += &format!("{name:<24}{}\n", cells.collect::<String>());
   };
-  let figure = |figure: Figure| {
+  let format = |estimate: Estimate| {
     format!(
       "{:.3} [{:.3}, {:.3}]",
-      figure.value, figure.low, figure.high
+      estimate.value, estimate.low, estimate.high
     )
   };
   row("requests", &|sample| sample.requests().to_string());
   row("cold starts", &|sample| sample.cold.len().to_string());
-  for (name, part) in [("p50", 0.5), ("p95", 0.95), ("p99", 0.99)] {
+  for (name, fraction) in [("p50", 0.5), ("p95", 0.95), ("p99", 0.99)] {
     let name = format!("cold start {name}, s");
-    row(&name, &|sample| figure(sample.cold_start(part)));
+    row(&name, &|sample| format(sample.cold_start(fraction)));
   }
-  row("idle accelerator, s", &|sample| figure(sample.idle_time()));
+  row("idle accelerator, s", &|sample| format(sample.idle_time()));
   row("loads", &|sample| sample.loads.to_string());
   row("refusals", &|sample| sample.refusals.to_string());
   let names = samples.iter().map(|(name, _)| format!("{name:>28}"));
   let mut text = format!("{:<24}{}\n{text}", "policy", names.collect::<String>());
   for (name, sample) in samples {
-    if let Some(why) = sample.too_small() {
-      text += &format!("{name}: the sample is too small to judge: {why}\n");
+    if let Some(reason) = sample.too_small() {
+      text += &format!("{name}: the sample is too small to judge: {reason}\n");
     }
   }
   text
 }
 
-/// Draws the share of cold starts within each wait.
-fn draw(
+/// Plots the cumulative share of cold starts by wait.
+fn plot_cold_starts(
   samples: &[(&str, Sample)],
   path: &Path,
 ) -> Result<(), DrawingAreaErrorKind<std::io::Error>> {
@@ -217,7 +220,7 @@
     let points = sorted
       .iter()
       .enumerate()
-      .map(|(at, wait)| (*wait, (at + 1) as f64 / count));
+      .map(|(index, wait)| (*wait, (index + 1) as f64 / count));
     chart.draw_series(LineSeries::new(points, color))?;
   }
   area.present()
--- a/src/departures.rs
+++ b/src/departures.rs
@@ -1,6 +1,6 @@
-//! How close requests came to servers that had left: reads the log files of all instances and
-//! measures, from the first line of any instance that names a departure, how long each of them
-//! went on sending there.
+//! Measures how long instances kept sending to servers that had left: reads the log files of all
+//! instances and takes the time from the first line of any instance that reports a departure to
+//! the last send of each instance to that server.
 
 use crate::{
   explain::{self, Line},
@@ -14,33 +14,33 @@
   process::ExitCode,
 };
 
-/// Width of a row of the histogram, ms.
-const ROW_MS: u64 = 250;
-/// Departures that are named one by one.
-const NAMED: usize = 5;
+/// Width of a histogram bucket.
+const BUCKET_MS: u64 = 250;
+/// Maximum number of departures that are listed individually.
+const MAX_LISTED: usize = 5;
 
 /// The last send of one instance to a server that had left.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct LastSend {
-  /// After the departure was first named, ms; 0: nothing was sent after it.
+  /// Time from the first report of the departure in ms; 0 if nothing was sent after it.
   pub after_ms: u64,
   pub server: String,
   pub instance: String,
-  /// When the departure was first named.
+  /// Timestamp of the first report of the departure.
   pub time: String,
 }
 
-/// A departure as the lines name it.
+/// A departure found in the log.
 struct Departure<'a> {
-  named: &'a Line,
-  /// The server said that it leaves: its entry does not come back as before.
-  said: bool,
+  line: &'a Line,
+  /// Whether the server announced that it leaves: its entry then does not come back as before.
+  announced: bool,
 }
 
-/// The last sends to servers that left for good, the latest first.
+/// The last sends to servers that left and did not come back, latest first.
 pub fn last_sends(mut lines: Vec<Line>) -> Vec<LastSend> {
-  lines.sort_by(|one, two| one.at.total_cmp(&two.at));
-  let departures = left(&lines);
+  lines.sort_by(|a, b| a.at.total_cmp(&b.at));
+  let departures = departed_servers(&lines);
   let mut last: BTreeMap<(&str, &str), u64> = BTreeMap::new();
   for line in lines.iter().filter(|line| line.message() == "sent") {
     let (Some(server), Some(instance)) = (line.text("server"), line.text("instance")) else {
@@ -49,11 +49,11 @@
     let Some(departure) = departures.get(server) else {
       continue;
     };
-    let took = line.fields.get("took_ms").and_then(Value::as_f64);
-    let sent = line.at - took.unwrap_or_default() / 1_000.0;
-    let after_ms = ((sent - departure.named.at) * 1_000.0).round().max(0.0) as u64;
-    let known = last.entry((server, instance)).or_default();
-    *known = after_ms.max(*known);
+    let took_ms = line.fields.get("took_ms").and_then(Value::as_f64);
+    let sent_at = line.at - took_ms.unwrap_or_default() / 1_000.0;
+    let after_ms = ((sent_at - departure.line.at) * 1_000.0).round().max(0.0) as u64;
+    let latest = last.entry((server, instance)).or_default();
+    *latest = after_ms.max(*latest);
   }
   let mut last: Vec<LastSend> = last
     .into_iter()
@@ -61,22 +61,22 @@
       after_ms,
       server: server.into(),
       instance: instance.into(),
-      time: departures[server].named.time.clone(),
+      time: departures[server].line.time.clone(),
     })
     .collect();
-  last.sort_by(|one, two| two.cmp(one));
+  last.sort_by(|a, b| b.cmp(a));
   last
 }
 
 /// The servers that left and did not come back, by id.
-fn left(lines: &[Line]) -> HashMap<&str, Departure<'_>> {
+fn departed_servers(lines: &[Line]) -> HashMap<&str, Departure<'_>> {
   let mut departures: HashMap<&str, Departure> = HashMap::new();
   for line in lines {
     let Some(server) = line.text("server") else {
       continue;
     };
     let draining = line.text("stage") == Some("Draining");
-    let departure = |said| Departure { named: line, said };
+    let departure = |announced| Departure { line, announced };
     match line.message() {
       "server says that it leaves" => {
         departures.entry(server).or_insert(departure(true));
@@ -84,7 +84,7 @@
       "server" if draining => {
         departures.entry(server).or_insert(departure(true));
       }
-      "server" if departures.get(server).is_some_and(|known| !known.said) => {
+      "server" if departures.get(server).is_some_and(|known| !known.announced) => {
         departures.remove(server);
       }
       "server's entry is missing" | "server is gone" => {
@@ -96,54 +96,59 @@
   departures
 }
 
-/// Rows of the histogram: from so many ms on, and how many last sends.
+/// Histogram of last sends: number of last sends by lower bound of the bucket in ms.
 pub fn histogram(last: &[LastSend]) -> BTreeMap<u64, usize> {
   let mut rows = BTreeMap::new();
-  for one in last {
-    *rows.entry(one.after_ms / ROW_MS * ROW_MS).or_default() += 1;
+  for send in last {
+    *rows
+      .entry(send.after_ms / BUCKET_MS * BUCKET_MS)
+      .or_default() += 1;
   }
   rows
 }
 
-/// Prints how close sends came to what servers said in their answers.
-fn report_said(lines: &[explain::Line]) {
+/// Prints sends after servers announced in a response that they leave, or requested a backoff.
+fn print_announced(lines: &[explain::Line]) {
   let mut leaving = margin::after_leaving(lines);
-  leaving.sort_by_key(|(.., after)| std::cmp::Reverse(*after));
+  leaving.sort_by_key(|(.., after_ms)| std::cmp::Reverse(*after_ms));
   println!(
-    "{} servers said that they leave, by instance",
+    "{} servers announced that they leave, by instance",
     leaving.len()
   );
-  for (instance, server, after) in leaving.iter().take(NAMED) {
-    println!("{after:7} ms  last send of {instance} to {server} after that");
+  for (instance, server, after_ms) in leaving.iter().take(MAX_LISTED) {
+    println!("{after_ms:7} ms  last send of {instance} to {server} after the announcement");
   }
-  let mut rests = margin::in_rests(lines);
-  rests.sort_by_key(|(.., most)| std::cmp::Reverse(*most));
-  println!("{} servers asked for rest, by instance", rests.len());
-  for (instance, server, most) in rests.iter().take(NAMED) {
-    println!("{most:7}     sends of {instance} to {server} in a rest");
+  let mut backoffs = margin::in_rests(lines);
+  backoffs.sort_by_key(|(.., count)| std::cmp::Reverse(*count));
+  println!(
+    "{} servers requested a backoff, by instance",
+    backoffs.len()
+  );
+  for (instance, server, count) in backoffs.iter().take(MAX_LISTED) {
+    println!("{count:7}     sends of {instance} to {server} during a backoff");
   }
 }
 
-/// Prints how long instances went on sending to servers that had left.
+/// Prints how long instances kept sending to servers that had left.
 pub fn departures(files: &[String]) -> Result<ExitCode, Report<Error>> {
   if files.is_empty() {
-    return Err(Report::new(Error("departures: name log files".into())));
+    return Err(Report::new(Error("departures: no log file given".into())));
   }
-  let (lines, other) = explain::read(files)?;
-  report_said(&lines);
+  let (lines, skipped) = explain::read(files)?;
+  print_announced(&lines);
   let last = last_sends(lines);
   println!("{} last sends to servers that left", last.len());
   for (from, count) in histogram(&last) {
-    println!("{count:7}  from {from} ms on");
+    println!("{count:7}  from {from} ms");
   }
-  for one in last.iter().take(NAMED) {
+  for send in last.iter().take(MAX_LISTED) {
     println!(
       "{:7} ms  {} to {}, which left at {}",
-      one.after_ms, one.instance, one.server, one.time
+      send.after_ms, send.instance, send.server, send.time
     );
   }
-  if other > 0 {
-    println!("({other} lines are not of bendsaddle)");
+  if skipped > 0 {
+    println!("({skipped} lines skipped: not bendsaddle log lines)");
   }
   Ok(ExitCode::SUCCESS)
 }
--- a/src/explain.rs
+++ b/src/explain.rs
@@ -1,8 +1,8 @@
-//! From a request's id to what happened to it: reads the log files of many
-//! instances and puts the lines that matter in order.
+//! Explains what happened to a request: reads the log files of several instances and
+//! prints the relevant lines in order of time.
 //!
-//! Lines may carry a prefix before their JSON, as log collectors add one; lines
-//! that are no JSON are counted and passed over.
+//! Lines may have a prefix before their JSON, as added by log collectors. Lines that
+//! are not JSON are counted and skipped.
 
 use crate::settings::Error;
 use error_stack::{Report, ResultExt};
@@ -15,70 +15,74 @@
   process::ExitCode,
 };
 
-/// Lines of other requests' causes are taken from this long before the request's
-/// first line, in seconds: a load and its takeover fit in.
-const BEFORE_S: f64 = 3.0;
+/// Lines of related events are included from this long before the request's first line,
+/// in seconds: long enough for a load and its takeover.
+const CONTEXT_BEFORE_S: f64 = 3.0;
 
-/// A line of a log.
+/// A line of a log file.
 #[derive(Clone, Debug)]
 pub struct Line {
-  /// Seconds of its day.
+  /// Time in seconds since midnight.
   pub at: f64,
   pub time: String,
   pub fields: Map<String, Value>,
 }
 
 impl Line {
-  /// The line in this text; none: it is no line of ours.
+  /// Parses a line; `None` if it is not a bendsaddle log line.
   pub fn parse(text: &str) -> Option<Self> {
     let json = &text[text.find('{')?..];
     let fields: Map<String, Value> = serde_json::from_str(json).ok()?;
     let time = fields.get("ts")?.as_str()?.to_string();
     Some(Self {
-      at: seconds(&time)?,
+      at: seconds_of_day(&time)?,
       time,
       fields,
     })
   }
 
-  /// A field that is text.
+  /// The value of a string field.
   pub fn text(&self, field: &str) -> Option<&str> {
     self.fields.get(field)?.as_str()
   }
 
-  /// What the line is about.
+  /// The log message; empty if the line has none.
   pub fn message(&self) -> &str {
     self.text("msg").unwrap_or_default()
   }
 }
 
-/// Seconds of the day in `2026-01-31T12:34:56.789Z`.
-fn seconds(time: &str) -> Option<f64> {
+/// Seconds since midnight of a timestamp such as `2026-01-31T12:34:56.789Z`.
+fn seconds_of_day(time: &str) -> Option<f64> {
   let clock = time.split('T').nth(1)?.trim_end_matches('Z');
   let mut parts = clock.split(':').map(str::parse::<f64>);
   let (hours, minutes) = (parts.next()?.ok()?, parts.next()?.ok()?);
   Some(hours * 3_600.0 + minutes * 60.0 + parts.next()?.ok()?)
 }
 
-/// The lines that explain a request, in order of time.
-pub fn lines(request: &str, mut all: Vec<Line>) -> Vec<Line> {
-  all.sort_by(|one, two| one.at.total_cmp(&two.at));
-  let own: Vec<&Line> = all
+/// Selects the lines that explain a request, ordered by time; empty if none belongs to it.
+pub fn lines(request: &str, mut all_lines: Vec<Line>) -> Vec<Line> {
+  all_lines.sort_by(|a, b| a.at.total_cmp(&b.at));
+  let own: Vec<&Line> = all_lines
     .iter()
     .filter(|line| line.text("request") == Some(request))
     .collect();
   let (Some(first), Some(last)) = (own.first(), own.last()) else {
     return Vec::new();
   };
-  let (from, to) = (first.at - BEFORE_S, last.at);
-  let named = |field: &str| -> BTreeSet<&str> {
+  let (from, to) = (first.at - CONTEXT_BEFORE_S, last.at);
+  let values_of = |field: &str| -> BTreeSet<&str> {
     let values = own.iter().filter_map(|line| line.text(field));
     values
       .map(|value| value.split('/').next().unwrap_or(value))
       .collect()
   };
-  let (models, servers, instances) = (named("model"), named("server"), named("instance"));
-  let concerns = |line: &Line| match line.message() {
+  let (models, servers, instances) = (
+    values_of("model"),
+    values_of("server"),
+    values_of("instance"),
+  );
+  let is_related = |line: &Line| match line.message() {
     "planned" | "ordered" => {
       let model = line.text("model").and_then(|model| model.split('/').next());
       model.is_some_and(|model| models.contains(model))
@@ -92,37 +96,37 @@
       .is_some_and(|instance| instances.contains(instance)),
     _ => false,
   };
-  let mine = |line: &Line| line.text("request") == Some(request);
-  let kept = all
+  let is_own = |line: &Line| line.text("request") == Some(request);
+  let selected = all_lines
     .iter()
-    .filter(|line| mine(line) || (from..=to).contains(&line.at) && concerns(line));
-  kept.cloned().collect()
+    .filter(|line| is_own(line) || (from..=to).contains(&line.at) && is_related(line));
+  selected.cloned().collect()
 }
 
-/// What the request's own lines amount to, in a sentence.
+/// Summarizes the lines of a request in one sentence.
 pub fn conclusion(request: &str, lines: &[Line]) -> String {
-  let mine = |line: &&Line| line.text("request") == Some(request);
-  let Some(last) = lines.iter().rev().find(mine) else {
-    return format!("request `{request}` is in none of the files");
+  let is_own = |line: &&Line| line.text("request") == Some(request);
+  let Some(last) = lines.iter().rev().find(is_own) else {
+    return format!("request `{request}` was not found in the files");
   };
-  let waited = last.fields.get("waited_ms").and_then(Value::as_u64);
-  let waited = waited.unwrap_or_default();
+  let waited_ms = last.fields.get("waited_ms").and_then(Value::as_u64);
+  let waited_ms = waited_ms.unwrap_or_default();
   match last.message() {
     "sent" => format!(
-      "send {} to `{}` ended as {} ({}); it had waited {waited} ms",
+      "send {} to `{}` ended as {} ({}) after waiting {waited_ms} ms",
       last.fields.get("send").unwrap_or(&Value::Null),
       last.text("server").unwrap_or_default(),
       last.text("end").unwrap_or_default(),
       last.text("why").unwrap_or_default(),
     ),
     "refused" => format!(
-      "refused after {waited} ms: {}, verdict {}",
+      "refused after {waited_ms} ms: {}, verdict {}",
       last.text("reason").unwrap_or_default(),
       last.text("verdict").unwrap_or("not-run"),
     ),
-    "caller left" => format!("the caller left after {waited} ms while it waited"),
-    "waiting" => "it waits, or its instance has ended".into(),
-    other => other.to_string(),
+    "caller left" => format!("the caller disconnected after waiting {waited_ms} ms"),
+    "waiting" => "still waiting, or its instance has ended".into(),
+    message => message.to_string(),
   }
 }
 
@@ -141,35 +145,36 @@
   println!("{text}");
 }
 
-/// The lines of log files, and how many are none of ours.
+/// Reads log files. Returns their lines and the number of skipped lines, which are not
+/// bendsaddle log lines.
 pub fn read(files: &[String]) -> Result<(Vec<Line>, usize), Report<Error>> {
-  let mut all = Vec::new();
-  let mut other = 0;
+  let mut all_lines = Vec::new();
+  let mut skipped = 0;
   for file in files {
-    let unread = || Error(format!("could not read `{file}`"));
-    let reader = BufReader::new(File::open(Path::new(file)).change_context_lazy(unread)?);
+    let read_error = || Error(format!("could not read `{file}`"));
+    let reader = BufReader::new(File::open(Path::new(file)).change_context_lazy(read_error)?);
     for text in reader.lines() {
-      match Line::parse(&text.change_context_lazy(unread)?) {
-        Some(line) => all.push(line),
-        None => other += 1,
+      match Line::parse(&text.change_context_lazy(read_error)?) {
+        Some(line) => all_lines.push(line),
+        None => skipped += 1,
       }
     }
   }
-  Ok((all, other))
+  Ok((all_lines, skipped))
 }
 
 /// Explains a request from log files.
-pub fn explain(rest: &[String]) -> Result<ExitCode, Report<Error>> {
-  let [request, files @ ..] = rest else {
+pub fn explain(args: &[String]) -> Result<ExitCode, Report<Error>> {
+  let [request, files @ ..] = args else {
     return Err(Report::new(Error(
-      "explain: name a request and files".into(),
+      "explain: a request ID and log files are required".into(),
     )));
   };
-  let (all, other) = read(files)?;
-  let lines = lines(request, all);
+  let (all_lines, skipped) = read(files)?;
+  let lines = lines(request, all_lines);
   lines.iter().for_each(print);
-  if other > 0 {
-    println!("({other} lines are not of bendsaddle)");
+  if skipped > 0 {
+    println!("({skipped} lines skipped: not bendsaddle log lines)");
   }
   println!("{}", conclusion(request, &lines));
   Ok(match lines.is_empty() {
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,7 @@
 //! bendsaddle: a serving system for rarely used models.
 //!
-//! A library with thin daemons. One reducer takes in everything that happens as
-//! events and answers with effects; threads around it turn effects into calls
-//! and their answers into events.
+//! A library with thin daemons. A single reducer turns events into effects; the threads
+//! around it carry out the effects as calls and report the results as events.
 
 pub mod admit;
 pub mod apply;
--- a/src/losses.rs
+++ b/src/losses.rs
@@ -1,5 +1,5 @@
-//! Where requests are lost: reads the log files of all instances and counts each request
-//! that was not served in time under the one cause that cost it most.
+//! Reports why requests were lost: reads the log files of all instances and counts each
+//! request that was not served in time under its one main cause.
 
 use crate::{
   explain::{self, Line},
@@ -16,25 +16,25 @@
 /// Why a request was not served in time.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Cause {
-  /// It waited for the decision to load its model, most of its wait.
+  /// It spent most of its wait on the decision to load its model.
   Decision,
-  /// It waited for the order after that decision.
+  /// It spent most of its wait on the order that follows the decision.
   Order,
-  /// It waited for the load.
+  /// It spent most of its wait on the load.
   Load,
-  /// It waited, and no load of its model was planned meanwhile.
+  /// It waited, and no load of its model was planned in that time.
   Unplanned,
-  /// Its first bytes came late from a server that had the model.
+  /// The first bytes came late from a server that had the model.
   Server,
-  /// A pause between its events was too long.
+  /// A pause between two events of its response was too long.
   Pause,
   /// Refused, with the reason.
   Refused(String),
-  /// Its last send failed, with why.
+  /// Its last send failed, with the reason.
   Failed(String),
-  /// Its caller left while it waited.
+  /// The caller disconnected.
   CallerGone,
-  /// Its log ends before it does: its instance ended, or the log.
+  /// The log has no end of the request: the instance or its log ended earlier.
   Unfinished,
 }
 
@@ -44,8 +44,8 @@
       Self::Decision => f.write_str("cold: waited for a decision"),
       Self::Order => f.write_str("cold: waited for the order"),
       Self::Load => f.write_str("cold: waited for the load"),
-      Self::Unplanned => f.write_str("waited without a load of its own"),
-      Self::Server => f.write_str("first bytes late at the server"),
+      Self::Unplanned => f.write_str("waited, but no load was planned"),
+      Self::Server => f.write_str("late first bytes from the server"),
       Self::Pause => f.write_str("pause between events"),
       Self::Refused(reason) => write!(f, "refused: {reason}"),
       Self::Failed(why) => write!(f, "failed: {why}"),
@@ -55,19 +55,19 @@
   }
 }
 
-/// All requests of some logs, and those lost by cause and route.
+/// Number of requests in the logs, and number of lost requests by cause and route.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct Table {
   pub requests: usize,
   pub lost: BTreeMap<Cause, BTreeMap<String, usize>>,
 }
 
-/// When loads of each model were planned and ordered, in seconds.
+/// Times of an event by model, in seconds since midnight.
 type Times<'a> = HashMap<&'a str, Vec<f64>>;
 
-/// Counts the requests of some lines.
+/// Counts requests and lost requests in log lines.
 pub fn table(mut lines: Vec<Line>) -> Table {
-  lines.sort_by(|one, two| one.at.total_cmp(&two.at));
+  lines.sort_by(|a, b| a.at.total_cmp(&b.at));
   let planned = times(&lines, |line| {
     line.message() == "planned" && line.text("what") == Some("load")
   });
@@ -87,11 +87,11 @@
     requests: requests.len(),
     ..Table::default()
   };
-  for own in requests.values() {
-    let Some(cause) = cause(own, &planned, &ordered) else {
+  for request_lines in requests.values() {
+    let Some(cause) = loss_cause(request_lines, &planned, &ordered) else {
       continue;
     };
-    let route = own.iter().find_map(|line| line.text("route"));
+    let route = request_lines.iter().find_map(|line| line.text("route"));
     let routes = table.lost.entry(cause).or_default();
     *routes.entry(route.unwrap_or("-").into()).or_default() += 1;
   }
@@ -108,14 +108,14 @@
   times
 }
 
-/// Why a request was lost, by its own lines in order of time; none: served in time.
-fn cause(own: &[&Line], planned: &Times, ordered: &Times) -> Option<Cause> {
-  let last = own.last()?;
+/// Why a request was lost, from its lines ordered by time; `None` if it was served in time.
+fn loss_cause(request_lines: &[&Line], planned: &Times, ordered: &Times) -> Option<Cause> {
+  let last = request_lines.last()?;
   let text = |field: &str| last.text(field).unwrap_or_default().to_string();
   match (last.message(), text("end").as_str(), text("late").as_str()) {
     ("sent", "Whole", "no") => None,
     ("sent", "Whole", "pause") => Some(Cause::Pause),
-    ("sent", "Whole", _) => Some(late(own, last, planned, ordered)),
+    ("sent", "Whole", _) => Some(late_cause(request_lines, last, planned, ordered)),
     ("sent", "Left", _) | ("caller left", ..) => Some(Cause::CallerGone),
     ("sent", ..) => Some(Cause::Failed(text("why"))),
     ("refused", ..) => Some(Cause::Refused(text("reason"))),
@@ -124,36 +124,40 @@
   }
 }
 
-/// What a request that came late waited for most.
-fn late(own: &[&Line], last: &Line, planned: &Times, ordered: &Times) -> Cause {
-  let Some(waiting) = own.iter().find(|line| line.message() == "waiting") else {
+/// The phase on which a late request spent most of its wait.
+fn late_cause(request_lines: &[&Line], last: &Line, planned: &Times, ordered: &Times) -> Cause {
+  let Some(waiting) = request_lines
+    .iter()
+    .find(|line| line.message() == "waiting")
+  else {
     return Cause::Server;
   };
-  let took = last.fields.get("took_ms").and_then(Value::as_f64);
-  let sent = last.at - took.unwrap_or_default() / 1_000.0;
+  let took_ms = last.fields.get("took_ms").and_then(Value::as_f64);
+  let sent_at = last.at - took_ms.unwrap_or_default() / 1_000.0;
   let model = waiting.text("model").unwrap_or_default();
   let model = model.split('/').next().unwrap_or_default();
-  let within = |times: &Times, from: f64| {
+  let first_within = |times: &Times, from: f64| {
     let times = times.get(model)?;
-    times.iter().copied().find(|at| (from..=sent).contains(at))
+    times
+      .iter()
+      .copied()
+      .find(|at| (from..=sent_at).contains(at))
   };
-  let Some(decided) = within(planned, waiting.at) else {
+  let Some(decided_at) = first_within(planned, waiting.at) else {
     return Cause::Unplanned;
   };
-  let order = within(ordered, decided).unwrap_or(decided);
-  let parts = [
-    (decided - waiting.at, Cause::Decision),
-    (order - decided, Cause::Order),
-    (sent - order, Cause::Load),
+  let ordered_at = first_within(ordered, decided_at).unwrap_or(decided_at);
+  let phases = [
+    (decided_at - waiting.at, Cause::Decision),
+    (ordered_at - decided_at, Cause::Order),
+    (sent_at - ordered_at, Cause::Load),
   ];
-  let most = parts
-    .into_iter()
-    .max_by(|(one, _), (two, _)| one.total_cmp(two));
-  most.map_or(Cause::Unplanned, |(_, cause)| cause)
+  let longest = phases.into_iter().max_by(|(a, _), (b, _)| a.total_cmp(b));
+  longest.map_or(Cause::Unplanned, |(_, cause)| cause)
 }
 
 fn print(table: &Table) {
-  let all = table.requests.max(1) as f64;
+  let total = table.requests.max(1) as f64;
   let mut rows: Vec<(usize, &Cause, &BTreeMap<String, usize>)> = table
     .lost
     .iter()
@@ -163,7 +167,7 @@
   let lost: usize = rows.iter().map(|(count, ..)| count).sum();
   println!("{} requests, {lost} lost", table.requests);
   for (count, cause, routes) in rows {
-    let share = count as f64 / all;
+    let share = count as f64 / total;
     let routes: Vec<String> = routes
       .iter()
       .map(|(route, count)| format!("{route} {count}"))
@@ -172,15 +176,15 @@
   }
 }
 
-/// Prints the table of some log files.
+/// Prints the table of losses of log files.
 pub fn losses(files: &[String]) -> Result<ExitCode, Report<Error>> {
   if files.is_empty() {
-    return Err(Report::new(Error("losses: name log files".into())));
+    return Err(Report::new(Error("losses: no log file given".into())));
   }
-  let (lines, other) = explain::read(files)?;
+  let (lines, skipped) = explain::read(files)?;
   print(&table(lines));
-  if other > 0 {
-    println!("({other} lines are not of bendsaddle)");
+  if skipped > 0 {
+    println!("({skipped} lines skipped: not bendsaddle log lines)");
   }
   Ok(ExitCode::SUCCESS)
 }
--- a/src/run.rs
+++ b/src/run.rs
@@ -31,9 +31,9 @@
        bendsaddle losses FILE...
        bendsaddle departures FILE...";
 
-type Outcome = Result<ExitCode, Report<Error>>;
+type CommandResult = Result<ExitCode, Report<Error>>;
 
-/// Options of every command.
+/// Options of all commands.
 #[derive(Default)]
 struct Options {
   settings: Option<PathBuf>,
@@ -41,12 +41,12 @@
   instance: Option<String>,
   trace: bool,
   plot: Option<PathBuf>,
-  rest: Vec<String>,
+  args: Vec<String>,
 }
 
 /// Runs the command named on the command line.
 pub fn run() -> ExitCode {
-  match dispatch() {
+  match run_command() {
     Ok(code) => code,
     Err(report) => {
       eprintln!("error: {report}");
@@ -55,24 +55,33 @@
   }
 }
 
-fn dispatch() -> Outcome {
+fn run_command() -> CommandResult {
   let mut parser = Parser::from_env();
   let (command, options) = parse(&mut parser).change_context(Error(USAGE.into()))?;
   match command.as_str() {
     "serve" => serve(&options),
     "check" => check(&options),
-    "apply" => apply::apply(&options.rest, &named(&options.platform, "--platform")?),
-    "get" => apply::get(&options.rest, &named(&options.platform, "--platform")?),
-    "status" => timeline::status(&named(&options.instance, "--instance")?),
-    "timeline" => timeline::timeline(&named(&options.instance, "--instance")?, options.trace),
+    "apply" => apply::apply(
+      &options.args,
+      &required_address(&options.platform, "--platform")?,
+    ),
+    "get" => apply::get(
+      &options.args,
+      &required_address(&options.platform, "--platform")?,
+    ),
+    "status" => timeline::status(&required_address(&options.instance, "--instance")?),
+    "timeline" => timeline::timeline(
+      &required_address(&options.instance, "--instance")?,
+      options.trace,
+    ),
     "compare" => compare::compare(
-      &options.rest,
-      &named(&options.instance, "--instance")?,
+      &options.args,
+      &required_address(&options.instance, "--instance")?,
       options.plot.as_deref(),
     ),
-    "explain" => explain::explain(&options.rest),
-    "losses" => losses::losses(&options.rest),
-    "departures" => departures::departures(&options.rest),
+    "explain" => explain::explain(&options.args),
+    "losses" => losses::losses(&options.args),
+    "departures" => departures::departures(&options.args),
     "help" | "" => {
       println!("{USAGE}");
       Ok(ExitCode::SUCCESS)
@@ -95,14 +104,14 @@
       Long("trace") => options.trace = true,
       Long("help") => command = "help".into(),
       Value(value) if command.is_empty() => command = value.string()?,
-      Value(value) => options.rest.push(value.string()?),
+      Value(value) => options.args.push(value.string()?),
       other => return Err(other.unexpected()),
     }
   }
   Ok((command, options))
 }
 
-fn named(value: &Option<String>, option: &str) -> Result<String, Report<Error>> {
+fn required_address(value: &Option<String>, option: &str) -> Result<String, Report<Error>> {
   let missing = || Report::new(Error(format!("{option}: missing\n{USAGE}")));
   let value = value.clone().ok_or_else(missing)?;
   match value.parse::<std::net::SocketAddr>() {
@@ -113,27 +122,27 @@
   }
 }
 
-fn serve(options: &Options) -> Outcome {
+fn serve(options: &Options) -> CommandResult {
   let path = options.settings.clone();
   let path = path.ok_or_else(|| Report::new(Error(format!("--settings: missing\n{USAGE}"))))?;
-  let settings = Settings::open(&path)?;
+  let settings = Settings::load(&path)?;
   let log = logger(&settings.instance);
-  let failed = || Error("could not start the instance".into());
-  let instance = Instance::spawn(settings, log).change_context_lazy(failed)?;
+  let start_error = || Error("could not start the instance".into());
+  let instance = Instance::spawn(settings, log).change_context_lazy(start_error)?;
   let ports = serde_json::json!({ "callers": instance.callers.to_string(),
     "peers": instance.peers.to_string(), "operators": instance.operators.to_string() });
   println!("{ports}");
-  let mut signals = Signals::open().change_context_lazy(failed)?;
-  // An instance reads its settings at its start only.
-  while signals.wait().change_context_lazy(failed)? == Signal::Reload {}
+  let mut signals = Signals::new().change_context_lazy(start_error)?;
+  // Settings are only read at startup, so a reload signal is ignored.
+  while signals.wait().change_context_lazy(start_error)? == Signal::Reload {}
   instance.stop();
   instance.wait();
   Ok(ExitCode::SUCCESS)
 }
 
-/// Runs an instance that routes requests; `edge` makes its edges.
+/// Runs a routing instance; `edge` builds its deployment interface from the settings.
 pub fn run_router(edge: fn(&Settings) -> Result<Edge, String>) -> ExitCode {
-  match routed(edge) {
+  match try_run_router(edge) {
     Ok(code) => code,
     Err(report) => {
       eprintln!("error: {report}");
@@ -142,7 +151,7 @@
   }
 }
 
-fn routed(edge: fn(&Settings) -> Result<Edge, String>) -> Outcome {
+fn try_run_router(edge: fn(&Settings) -> Result<Edge, String>) -> CommandResult {
   let mut parser = Parser::from_env();
   let (command, options) = parse(&mut parser).change_context(Error(USAGE.into()))?;
   if command != "serve" {
@@ -152,43 +161,43 @@
   }
   let path = options.settings.clone();
   let path = path.ok_or_else(|| Report::new(Error(format!("--settings: missing\n{USAGE}"))))?;
-  let settings = Settings::open(&path)?;
+  let settings = Settings::load(&path)?;
   let log = logger(&settings.instance);
-  let edge = edge(&settings).map_err(|fault| Report::new(Error(fault)))?;
-  let failed = || Error("could not start the instance".into());
-  let router = Router::spawn(&settings, edge, log).change_context_lazy(failed)?;
-  let mut signals = Signals::open().change_context_lazy(failed)?;
-  while signals.wait().change_context_lazy(failed)? == Signal::Reload {
-    router.reload(Settings::open(&path));
+  let edge = edge(&settings).map_err(|error| Report::new(Error(error)))?;
+  let start_error = || Error("could not start the instance".into());
+  let router = Router::spawn(&settings, edge, log).change_context_lazy(start_error)?;
+  let mut signals = Signals::new().change_context_lazy(start_error)?;
+  while signals.wait().change_context_lazy(start_error)? == Signal::Reload {
+    router.reload(Settings::load(&path));
   }
   router.stop();
   Ok(ExitCode::SUCCESS)
 }
 
-/// Lines that wait to be written; further ones are dropped, and a line counts them.
-const LOG_LINES: usize = 2_048;
+/// Capacity of the log queue. Further lines are dropped, and a line reports their number.
+const LOG_QUEUE_LINES: usize = 2_048;
 
-/// A log of JSON lines on standard output. Writing never blocks a request: a thread
-/// writes, from a bounded queue.
+/// Logs JSON lines to standard output. A separate thread writes them from a bounded queue,
+/// so that logging never blocks a request.
 fn logger(instance: &str) -> Logger {
-  // Nobody could be notified that standard output is closed.
+  // Write errors are ignored: there is no other place to report a closed standard output.
   let drain = slog_json::Json::default(std::io::stdout()).ignore_res();
   let drain = slog_async::Async::new(drain)
-    .chan_size(LOG_LINES)
+    .chan_size(LOG_QUEUE_LINES)
     .overflow_strategy(slog_async::OverflowStrategy::DropAndReport)
     .build()
     .ignore_res();
   Logger::root(drain, o!("instance" => instance.to_string()))
 }
 
-fn check(options: &Options) -> Outcome {
-  if options.rest.is_empty() {
-    return Err(Report::new(Error(format!("check: no file\n{USAGE}"))));
+fn check(options: &Options) -> CommandResult {
+  if options.args.is_empty() {
+    return Err(Report::new(Error(format!("check: no file given\n{USAGE}"))));
   }
   let mut code = ExitCode::SUCCESS;
-  for file in &options.rest {
-    for fault in apply::validation_errors(std::path::Path::new(file)) {
-      eprintln!("{file}: {fault}");
+  for file in &options.args {
+    for error in apply::validation_errors(std::path::Path::new(file)) {
+      eprintln!("{file}: {error}");
       code = ExitCode::FAILURE;
     }
   }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,10 +1,10 @@
-//! Settings of one instance: JSON with comments, checked whole before start.
+//! Settings of one instance, read from JSON with comments and validated before startup.
 
 use error_stack::{Report, ResultExt};
 use serde::{Deserialize, Serialize};
 use std::{net::SocketAddr, path::Path};
 
-/// A settings file that cannot be used.
+/// Why a command failed or a settings file is invalid, as a message for the operator.
 #[derive(Debug)]
 pub struct Error(pub String);
 
@@ -16,78 +16,78 @@
 
 impl std::error::Error for Error {}
 
-/// How waiting requests reach a replica's slots.
+/// How waiting requests are assigned to a replica's slots.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Dispatch {
-  /// Each instance sends to the replica it believes least loaded.
+  /// Each instance sends to the replica that it estimates to be least loaded.
   Push,
-  /// The deciding instance hands out shares of the slots by demand.
+  /// The deciding instance grants shares of the slots by demand.
   #[default]
   Share,
 }
 
-/// Times, bounds and budgets; milliseconds unless named otherwise.
+/// Timeouts, intervals, limits and budgets; times in milliseconds.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default, rename_all = "camelCase")]
 pub struct Limits {
-  /// Connections of callers at once.
+  /// Maximum number of concurrent caller connections.
   pub requests: usize,
-  /// Requests waiting for one model.
+  /// Maximum number of requests waiting for one model.
   pub queue: usize,
-  /// Largest request body, bytes.
+  /// Maximum size of a request body in bytes.
   pub body_bytes: usize,
-  /// Longest wait on a caller that does not read.
+  /// Timeout of a write to a caller that does not read.
   pub caller_stall_ms: u64,
-  /// Longest pause between two requests of a connection.
+  /// Maximum idle time between two requests on a connection.
   pub caller_idle_ms: u64,
-  /// Deadline of an interactive request that names none.
+  /// Deadline of an interactive request that sets none.
   pub deadline_ms: u64,
-  /// Attempts for one request.
+  /// Maximum number of attempts per request.
   pub attempts: u32,
-  /// Retries for each hundred requests.
+  /// Retries allowed per 100 requests.
   pub retry_percent: u32,
-  /// Wait for an engine between two tokens.
+  /// Timeout between two tokens from an engine.
   pub token_stall_ms: u64,
-  /// Wait for a connection.
+  /// Timeout for establishing a connection.
   pub connect_ms: u64,
-  /// Pause between two exchanges with a neighbour.
+  /// Interval between two exchanges with a peer.
   pub exchange_ms: u64,
-  /// Time from suspicion to removal of an instance.
+  /// Time from the suspicion to the removal of an instance.
   pub suspect_ms: u64,
-  /// Pause between two reads of the platform's list.
+  /// Interval between two reads of the platform's list of instances.
   pub list_ms: u64,
-  /// Pause between two status questions to an engine.
+  /// Interval between two status requests to an engine.
   pub poll_ms: u64,
-  /// From withdrawing a replica to ordering its unload.
+  /// Time from withdrawing a replica to ordering its unload.
   pub drain_ms: u64,
-  /// Longest time from reading a decision to sending its order.
+  /// Maximum time from reading a decision to sending its order.
   pub fresh_ms: u64,
-  /// Longest time an order stays on its way after its sender gave up.
+  /// Maximum time that an order stays in flight after its sender gave up.
   pub order_ttl_ms: u64,
-  /// Longest load.
+  /// Maximum duration of a load.
   pub load_ms: u64,
-  /// Pause between two reads of an owned model's record.
+  /// Interval between two reads of an owned model's record.
   pub audit_ms: u64,
   /// How long a claim is kept.
   pub claim_ms: u64,
-  /// Least time between two writes of a shard.
+  /// Minimum time between two writes of a claim shard.
   pub claim_gather_ms: u64,
-  /// Shards of claims.
+  /// Number of claim shards.
   pub claim_shards: u32,
-  /// Platform calls a second of all instances together.
+  /// Maximum platform calls per second over all instances.
   pub platform_budget: u32,
-  /// Platform calls a second of one instance, at most.
+  /// Maximum platform calls per second of one instance.
   pub platform_rate: u32,
-  /// Longest wait for a platform call, retries included.
+  /// Timeout of a platform call, including retries.
   pub platform_ms: u64,
-  /// Least time a replica is idle before it gives way to another model.
+  /// Minimum idle time of a replica before it is evicted for another model.
   pub yield_ms: u64,
-  /// How waiting requests reach slots.
+  /// How waiting requests are assigned to slots.
   pub dispatch: Dispatch,
-  /// 0: weigh cold-start time alone; 100: weigh idle accelerators alone.
+  /// Trade-off in percent: 0 weighs only cold-start time, 100 only idle accelerators.
   pub thrift: u32,
-  /// Bytes of facts in one exchange.
+  /// Maximum bytes of facts in one exchange.
   pub delta_bytes: usize,
 }
 
@@ -134,64 +134,64 @@
   /// Identity in the platform's list of instances.
   pub instance: String,
   pub zone: String,
-  /// Where callers reach the instance, `ip:port`.
+  /// Address for callers, `ip:port`.
   pub callers: String,
-  /// Where other instances reach it, `ip:port`.
+  /// Address for other instances, `ip:port`.
   pub peers: String,
-  /// Where operators reach it, `ip:port`.
+  /// Address for operators, `ip:port`.
   pub operators: String,
-  /// The platform's object API, `ip:port`.
+  /// Address of the platform's object API, `ip:port`.
   pub platform: String,
-  /// Peer addresses to ask while the platform is out of reach.
+  /// Peer addresses to contact while the platform is unreachable.
   #[serde(default)]
   pub seeds: Vec<String>,
   #[serde(default)]
   pub limits: Limits,
-  /// Where a balancer asks whether the instance takes requests, `ip:port`.
+  /// Address of the load balancer's health check, `ip:port`.
   #[serde(default)]
   pub health: Option<String>,
-  /// For an instance that routes requests by the deployment's routes.
+  /// Set on an instance that routes requests by the deployment's routes.
   #[serde(default)]
   pub routing: Option<Routing>,
 }
 
-/// Bounds of a routing instance; milliseconds unless named otherwise.
+/// Limits of a routing instance; times in milliseconds.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default, rename_all = "camelCase")]
 pub struct Routing {
-  /// The machine, as orders to backend servers name their sender.
+  /// Machine name that identifies the sender in orders to backend servers.
   pub machine: String,
-  /// Repeats allowed for each request of a pool, over all instances.
+  /// Retries allowed per request of a pool, over all instances.
   pub retry_ratio: f64,
-  /// Repeats allowed besides within one window.
+  /// Additional retries allowed per window.
   pub retry_slack: f64,
   pub retry_window_ms: u64,
-  /// Two instances give orders to one server no closer than this.
+  /// Minimum time between the orders of two instances to the same server.
   pub lease_ms: u64,
-  /// Groups of backend servers, each with a lease of its own; equal on all
+  /// Number of groups of backend servers, each with its own lease; the same on all
   /// instances.
   pub groups: u32,
   /// Window in which loads from the weight store are counted.
   pub load_window_ms: u64,
-  /// Loads in a window, as a part of the rate that the weight store allows.
+  /// Loads allowed per window, as a fraction of the rate that the weight store allows.
   pub load_overage: f64,
-  /// From the signal to stop to the end of the process.
+  /// Time from the stop signal to the end of the process.
   pub grace_ms: u64,
-  /// Processor that the instance has, in cores, and its link, Mbit/s: small
-  /// instances leave orders to others.
+  /// CPU cores and network bandwidth in Mbit/s of the instance. Small instances leave
+  /// orders to others.
   pub cores: f64,
   pub link_mbps: f64,
-  /// No request runs that was sent so long after its key was taken away; 0: no such bound.
+  /// A request sent this long after the revocation of its key does not run; 0 for no bound.
   pub revoke_ms: u64,
-  /// Window in which customers' quotas are counted, what may be used on top of a window's
-  /// quota, as a part of it, and units on top besides.
+  /// Window in which customers' quotas are counted, the usage allowed beyond a window's
+  /// quota as a fraction of it, and the units allowed in addition.
   pub quota_window_ms: u64,
   pub quota_overage: f64,
   pub quota_slack: f64,
 }
 
 impl Default for Routing {
-  /// What the users' platform states where it states nothing else.
+  /// Defaults of the users' platform where it specifies nothing else.
   fn default() -> Self {
     Self {
       machine: "127.0.0.1".into(),
@@ -214,7 +214,7 @@
 }
 
 impl Routing {
-  /// The budget of repeats.
+  /// The retry budget.
   pub fn retry_bound(&self) -> crate::retry::Bound {
     crate::retry::Bound {
       ratio: self.retry_ratio,
@@ -223,7 +223,7 @@
     }
   }
 
-  /// What all instances keep of customers' quotas.
+  /// The bound on customers' quota usage over all instances.
   pub fn quota_bound(&self) -> crate::quota::Bound {
     crate::quota::Bound {
       window_ms: self.quota_window_ms,
@@ -232,7 +232,7 @@
     }
   }
 
-  fn fault(&self) -> Option<String> {
+  fn validation_error(&self) -> Option<String> {
     let quotas = [
       ("quotaOverage", self.quota_overage),
       ("quotaSlack", self.quota_slack),
@@ -258,27 +258,27 @@
 }
 
 impl Settings {
-  /// Reads and checks a file.
-  pub fn open(path: &Path) -> Result<Self, Report<Error>> {
+  /// Reads and validates a settings file.
+  pub fn load(path: &Path) -> Result<Self, Report<Error>> {
     let text = std::fs::read_to_string(path)
       .change_context_lazy(|| Error(format!("could not read settings `{}`", path.display())))?;
     Self::parse(&text).map_err(|error| Report::new(Error(format!("{}: {error}", path.display()))))
   }
 
-  /// Reads and checks settings.
+  /// Parses and validates settings.
   pub fn parse(text: &str) -> Result<Self, String> {
     let value = parse_jsonc(text)?;
     let settings: Self = serde_json::from_value(value).map_err(|error| error.to_string())?;
-    match settings.fault() {
-      Some(fault) => Err(fault),
+    match settings.validation_error() {
+      Some(error) => Err(error),
       None => Ok(settings),
     }
   }
 
-  fn fault(&self) -> Option<String> {
+  fn validation_error(&self) -> Option<String> {
     if self.instance.is_empty() || self.instance.contains('/') {
       return Some(format!(
-        "instance: `{}` is empty or holds a slash",
+        "instance: `{}` is empty or contains a slash",
         self.instance
       ));
     }
@@ -295,13 +295,13 @@
         return Some(format!("{field}: `{value}` is not ip:port"));
       }
     }
-    let routing = self.routing.as_ref().and_then(Routing::fault);
-    routing.or_else(|| self.limits.fault())
+    let routing = self.routing.as_ref().and_then(Routing::validation_error);
+    routing.or_else(|| self.limits.validation_error())
   }
 }
 
 impl Limits {
-  fn fault(&self) -> Option<String> {
+  fn validation_error(&self) -> Option<String> {
     let positive = [
       ("requests", self.requests as u64),
       ("queue", self.queue as u64),
--- a/src/signals.rs
+++ b/src/signals.rs
@@ -1,4 +1,4 @@
-//! Signals that ask for a planned stop or for the settings to be read again.
+//! Signals that request a planned stop or a reload of the settings.
 
 use crate::clock::Moment;
 use crate::socket::{Interest, wait};
@@ -11,43 +11,43 @@
   time::Duration,
 };
 
-/// Longest wait at once.
-const WAIT: Duration = Duration::from_secs(60);
+/// Timeout of one wait for a signal.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// What a signal asks for.
+/// What a signal requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Signal {
   Stop,
   Reload,
 }
 
-/// Signals as they come.
+/// Receives the process's signals.
 pub struct Signals {
   stop: PipeReader,
   reload: PipeReader,
 }
 
 impl Signals {
-  /// Takes over SIGTERM, SIGINT and SIGHUP.
-  pub fn open() -> io::Result<Self> {
-    let (stop, stopped) = io::pipe()?;
-    let (reload, reloaded) = io::pipe()?;
-    pipe::register(SIGTERM, stopped.try_clone()?)?;
-    pipe::register(SIGINT, stopped)?;
-    pipe::register(SIGHUP, reloaded)?;
+  /// Registers handlers for SIGTERM, SIGINT and SIGHUP.
+  pub fn new() -> io::Result<Self> {
+    let (stop, stop_writer) = io::pipe()?;
+    let (reload, reload_writer) = io::pipe()?;
+    pipe::register(SIGTERM, stop_writer.try_clone()?)?;
+    pipe::register(SIGINT, stop_writer)?;
+    pipe::register(SIGHUP, reload_writer)?;
     Ok(Self { stop, reload })
   }
 
   /// Waits for the next signal.
   pub fn wait(&mut self) -> io::Result<Signal> {
     loop {
-      let until = Moment::now() + WAIT;
-      let waits = [
+      let deadline = Moment::now() + WAIT_TIMEOUT;
+      let pipes = [
         Some((&self.stop as _, Interest::Read)),
         Some((&self.reload as _, Interest::Read)),
       ];
-      let [stop, reload] = wait(waits, until)?;
-      // A byte a signal.
+      let [stop, reload] = wait(pipes, deadline)?;
+      // The handler writes one byte per signal.
       let mut byte = [0];
       if stop {
         self.stop.read_exact(&mut byte)?;
--- a/src/timeline.rs
+++ b/src/timeline.rs
@@ -1,6 +1,6 @@
-//! Commands that read the instances: `status` and `timeline`.
+//! The `status` and `timeline` commands, which query instances.
 //!
-//! One instance names all others, so any live instance will do.
+//! Each instance lists all others, so any live instance can be queried.
 
 use crate::{
   journal::Line,
@@ -13,63 +13,73 @@
 use std::{process::ExitCode, time::Duration};
 use ureq::Agent;
 
-/// Longest wait for an instance.
-const CALL: Duration = Duration::from_secs(5);
+/// Timeout of a call to an instance.
+const CALL_TIMEOUT: Duration = Duration::from_secs(5);
 
 fn get<T: DeserializeOwned>(address: &str, path: &str) -> Result<T, Report<Error>> {
-  let failed = || Error(format!("could not read `http://{address}{path}`"));
+  let read_error = || Error(format!("could not read `http://{address}{path}`"));
   let agent: Agent = Agent::config_builder()
     .proxy(None)
-    .timeout_global(Some(CALL))
+    .timeout_global(Some(CALL_TIMEOUT))
     .build()
     .new_agent();
   let mut response = agent
     .get(format!("http://{address}{path}"))
     .call()
-    .change_context_lazy(failed)?;
-  response.body_mut().read_json().change_context_lazy(failed)
+    .change_context_lazy(read_error)?;
+  response
+    .body_mut()
+    .read_json()
+    .change_context_lazy(read_error)
 }
 
-/// Prints an instance's state.
+/// Prints the state and the configuration of an instance.
 pub fn status(address: &str) -> Result<ExitCode, Report<Error>> {
   let status: Status = get(address, "/status")?;
-  let failed = || Error("could not print the status".into());
-  let text = serde_json::to_string_pretty(&status).change_context_lazy(failed)?;
+  let print_error = || Error("could not print the status".into());
+  let text = serde_json::to_string_pretty(&status).change_context_lazy(print_error)?;
   println!("{text}");
   let configuration: Configuration = get(address, "/configuration")?;
-  let text = serde_json::to_string_pretty(&configuration).change_context_lazy(failed)?;
+  let text = serde_json::to_string_pretty(&configuration).change_context_lazy(print_error)?;
   println!("{text}");
   Ok(ExitCode::SUCCESS)
 }
 
-/// What the instances answered.
-pub struct Gathered {
-  /// Lines by time, with the instance that wrote each.
+/// Timeline of all instances.
+pub struct Timeline {
+  /// Lines ordered by time, each with the instance that wrote it.
   pub lines: Vec<(String, Line)>,
-  /// Instances that did not answer.
-  pub silent: Vec<Member>,
+  /// Instances that did not respond.
+  pub unreachable: Vec<Member>,
 }
 
-/// Lines of all instances that answer, by time, with those that do not.
-pub fn gather(address: &str) -> Result<Gathered, Report<Error>> {
+/// Fetches the lines of all instances that the instance at `address` lists.
+pub fn fetch_timeline(address: &str) -> Result<Timeline, Report<Error>> {
   let status: Status = get(address, "/status")?;
   let mut lines = Vec::new();
-  let mut silent = Vec::new();
+  let mut unreachable = Vec::new();
   for member in status.members {
     match get::<Vec<Line>>(&member.operators, "/timeline") {
-      Ok(read) => lines.extend(read.into_iter().map(|line| (member.instance.clone(), line))),
-      Err(_) => silent.push(member),
+      Ok(fetched) => lines.extend(
+        fetched
+          .into_iter()
+          .map(|line| (member.instance.clone(), line)),
+      ),
+      Err(_) => unreachable.push(member),
     }
   }
   lines.sort_by_key(|(_, line)| line.at);
-  Ok(Gathered { lines, silent })
+  Ok(Timeline { lines, unreachable })
 }
 
-/// Prints the time line of all instances, as text or as trace events.
+/// Prints the timeline of all instances as text or as trace events.
 pub fn timeline(address: &str, trace: bool) -> Result<ExitCode, Report<Error>> {
-  let Gathered { lines, silent } = gather(address)?;
-  for member in silent {
-    eprintln!("{}: no answer from `{}`", member.instance, member.operators);
+  let Timeline { lines, unreachable } = fetch_timeline(address)?;
+  for member in unreachable {
+    eprintln!(
+      "{}: no response from `{}`",
+      member.instance, member.operators
+    );
   }
   if trace {
     println!("{}", trace_events(&lines));
@@ -82,18 +92,18 @@
   Ok(ExitCode::SUCCESS)
 }
 
-/// The lines in the JSON trace-event format that browsers open; times in
+/// Converts lines to the JSON trace-event format, which browsers can open; times in
 /// microseconds.
 pub fn trace_events(lines: &[(String, Line)]) -> Value {
   let events = lines.iter().map(|(instance, line)| {
     let entry = serde_json::to_value(&line.entry).unwrap_or_default();
-    let took = entry["took_ms"].as_u64().or(entry["waited_ms"].as_u64());
-    let took = took.unwrap_or_default();
+    let duration_ms = entry["took_ms"].as_u64().or(entry["waited_ms"].as_u64());
+    let duration_ms = duration_ms.unwrap_or_default();
     json!({
       "name": entry["what"],
-      "ph": if took > 0 { "X" } else { "i" },
-      "ts": line.at.saturating_sub(took) * 1_000,
-      "dur": took * 1_000,
+      "ph": if duration_ms > 0 { "X" } else { "i" },
+      "ts": line.at.saturating_sub(duration_ms) * 1_000,
+      "dur": duration_ms * 1_000,
       "pid": instance,
       "tid": entry["model"].as_str().unwrap_or("instance"),
       "s": "p",
