--- a/src/engine.rs
+++ b/src/engine.rs
@@ -1,9 +1,9 @@
 //! Client of model engines.
 //!
-//! `GET /status` answers a report; `POST /control/load` and `/control/unload`
-//! take orders (202 taken, 409 stale fencing number, 422 declined);
+//! `GET /status` returns a report; `POST /control/load` and `/control/unload`
+//! accept orders (202 accepted, 409 stale fencing number, 422 declined);
 //! `POST /v1/completions` streams tokens as server-sent events, each with its
-//! index, and declines with 429 or 503 before running anything.
+//! index, or declines with 429 or 503 before running anything.
 
 use crate::{
   attempt::{Attempt, End},
@@ -20,12 +20,12 @@
   time::Duration,
 };
 
-/// Longest wait for a status or an order's answer.
-const CONTROL: Duration = Duration::from_millis(1_000);
-/// Longest line of a token stream, bytes.
-const LINE_LIMIT: u64 = 1 << 20;
+/// Timeout of a status request and of an order.
+const CONTROL_TIMEOUT: Duration = Duration::from_millis(1_000);
+/// Maximum length of a line of a token stream.
+const MAX_LINE_BYTES: u64 = 1 << 20;
 
-/// A completion, as an engine takes it.
+/// The body of a completion request to an engine.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Completion {
   pub replica: u64,
@@ -36,9 +36,9 @@
   pub attempt: String,
   /// Identifies the caller's request over all attempts.
   pub request: String,
-  /// Lower goes first.
+  /// Lower values are served first.
   pub priority: u8,
-  /// Tokens the caller has already; the stream begins after them.
+  /// Tokens that the caller already has; the stream starts after them.
   pub resume: Vec<String>,
 }
 
@@ -54,7 +54,7 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Done {
   pub attempt: String,
-  /// Tokens of the whole answer.
+  /// Number of tokens of the complete response.
   pub total: usize,
 }
 
@@ -71,19 +71,19 @@
   pub fence: u64,
 }
 
-fn control_waits(limits: &Limits) -> Timeouts {
+fn control_timeouts(limits: &Limits) -> Timeouts {
   Timeouts {
     connect: Duration::from_millis(limits.connect_ms),
-    response: CONTROL,
-    read: CONTROL,
+    response: CONTROL_TIMEOUT,
+    read: CONTROL_TIMEOUT,
   }
 }
 
-/// Asks an engine for its status.
+/// Requests the status of an engine; `None` on any failure.
 pub fn status(address: &str, limits: &Limits) -> Option<Report> {
   let request = ureq::http::Request::get(format!("http://{address}/status"));
   let request = request.body(Vec::new()).ok()?;
-  let mut response = call::send(request, control_waits(limits)).ok()?;
+  let mut response = call::send(request, control_timeouts(limits)).ok()?;
   if response.status() != 200 {
     return None;
   }
@@ -120,7 +120,7 @@
   };
   let body = serde_json::to_vec(&body).unwrap_or_default();
   let sent = call::post(&order.address, path, body)
-    .and_then(|request| call::send(request, control_waits(limits)));
+    .and_then(|request| call::send(request, control_timeouts(limits)));
   match sent {
     Ok(response) => match response.status().as_u16() {
       200 | 202 => Outcome::Accepted,
@@ -136,71 +136,71 @@
   }
 }
 
-/// Puts a stream's tokens in order and drops what does not belong to it.
+/// Orders the tokens of an attempt's stream and drops everything that does not belong to it.
 #[derive(Debug)]
 pub struct Sequence {
   attempt: String,
   next: usize,
-  early: BTreeMap<usize, String>,
+  out_of_order: BTreeMap<usize, String>,
   total: Option<usize>,
 }
 
 impl Sequence {
-  /// A sequence for an attempt whose caller has `delivered` tokens.
+  /// Creates a sequence for an attempt whose caller already has `delivered` tokens.
   pub fn new(attempt: &str, delivered: usize) -> Self {
     Self {
       attempt: attempt.into(),
       next: delivered,
-      early: BTreeMap::new(),
+      out_of_order: BTreeMap::new(),
       total: None,
     }
   }
 
-  /// Takes a line of the stream; answers the tokens now due, in order.
+  /// Adds a line of the stream and returns the tokens that are next in order.
   pub fn push(&mut self, line: &str) -> Vec<String> {
     let Some(data) = line.strip_prefix("data: ") else {
       return Vec::new();
     };
     if let Ok(chunk) = serde_json::from_str::<Chunk>(data) {
       if chunk.attempt == self.attempt && chunk.index >= self.next {
-        self.early.insert(chunk.index, chunk.text);
+        self.out_of_order.insert(chunk.index, chunk.text);
       }
     } else if let Ok(done) = serde_json::from_str::<Done>(data)
       && done.attempt == self.attempt
     {
       self.total = Some(done.total);
     }
-    let mut due = Vec::new();
-    while let Some(text) = self.early.remove(&self.next) {
+    let mut ready = Vec::new();
+    while let Some(text) = self.out_of_order.remove(&self.next) {
       self.next += 1;
-      due.push(text);
+      ready.push(text);
     }
-    due
+    ready
   }
 
-  /// Whether the whole answer was taken.
+  /// Whether all tokens of the response were received.
   pub fn is_complete(&self) -> bool {
     self.total == Some(self.next)
   }
 }
 
-/// Streams a completion; `token` takes each token and answers whether the caller
-/// is still there.
+/// Streams a completion. `on_token` receives each token and returns whether the caller is
+/// still connected.
 pub fn complete(
   attempt: &Attempt,
   completion: &Completion,
   limits: &Limits,
-  mut token: impl FnMut(String) -> bool,
+  mut on_token: impl FnMut(String) -> bool,
 ) -> End {
   let stall = Duration::from_millis(limits.token_stall_ms);
-  let waits = Timeouts {
+  let timeouts = Timeouts {
     connect: Duration::from_millis(limits.connect_ms),
     response: stall,
     read: stall,
   };
   let body = serde_json::to_vec(completion).unwrap_or_default();
   let sent = call::post(&attempt.address, "/v1/completions", body)
-    .and_then(|request| call::send(request, waits));
+    .and_then(|request| call::send(request, timeouts));
   let response = match sent {
     Ok(response) => response,
     Err(failure) => return End::Broken(failure.verdict),
@@ -216,12 +216,12 @@
   let mut line = String::new();
   loop {
     line.clear();
-    let read = std::io::Read::take(&mut lines, LINE_LIMIT).read_line(&mut line);
+    let read = std::io::Read::take(&mut lines, MAX_LINE_BYTES).read_line(&mut line);
     if !matches!(read, Ok(length) if length > 0) {
       return End::Broken(Verdict::MayHaveRun);
     }
     for text in sequence.push(line.trim_end()) {
-      if !token(text) {
+      if !on_token(text) {
         return End::CallerGone;
       }
     }
@@ -231,11 +231,11 @@
   }
 }
 
-/// Notifies an engine that nobody waits for an attempt any more.
+/// Notifies an engine that the response to an attempt is no longer needed.
 pub fn cancel(address: &str, attempt: &str, limits: &Limits) {
   let body = serde_json::json!({ "attempt": attempt }).to_string();
   if let Ok(request) = call::post(address, "/control/cancel", body.into_bytes()) {
-    // The engine also notices the closed connection; this is only sooner.
-    let _ = call::send(request, control_waits(limits));
+    // Errors are ignored: the engine also detects the closed connection, only later.
+    let _ = call::send(request, control_timeouts(limits));
   }
 }
--- a/src/exporter.rs
+++ b/src/exporter.rs
@@ -7,20 +7,20 @@
 use opentelemetry_sdk::metrics::SdkMeterProvider;
 use prometheus::{Encoder, Registry, TextEncoder};
 
-/// Bounds of the wait histograms, seconds.
-const BOUNDS: [f64; 14] = [
+/// Bucket bounds of the wait histograms.
+const WAIT_BUCKETS_S: [f64; 14] = [
   0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0, 30.0, 60.0, 120.0,
 ];
 
-/// A registry of instruments of its own, scraped as text.
+/// A separate registry of instruments, exported as text.
 pub struct Exporter {
   registry: Registry,
   provider: SdkMeterProvider,
 }
 
 impl Exporter {
-  /// Opens an empty registry; an error says that the exporter cannot be registered.
-  pub fn open() -> Result<Self, Box<dyn std::error::Error>> {
+  /// Creates an empty registry. Fails if the exporter cannot be registered.
+  pub fn new() -> Result<Self, Box<dyn std::error::Error>> {
     let registry = Registry::new();
     let exporter = opentelemetry_prometheus::exporter()
       .with_registry(registry.clone())
@@ -34,34 +34,45 @@
     self.provider.meter("bendsaddle")
   }
 
-  /// Appends all instruments to `text`; an error says what could not be encoded, and
-  /// leaves what was written before it.
+  /// Appends all instruments to `text`. An error says what could not be encoded; text
+  /// written before it remains.
   pub fn encode(&self, text: &mut Vec<u8>) -> Result<(), prometheus::Error> {
     TextEncoder::new().encode(&self.registry.gather(), text)
   }
 }
 
-/// A histogram of times, seconds.
-pub(crate) fn seconds(meter: &Meter, name: &'static str, text: &'static str) -> Histogram<f64> {
+/// Creates a histogram of times in seconds.
+pub(crate) fn time_histogram(
+  meter: &Meter,
+  name: &'static str,
+  description: &'static str,
+) -> Histogram<f64> {
   meter
     .f64_histogram(name)
-    .with_description(text)
+    .with_description(description)
     .with_unit("s")
-    .with_boundaries(BOUNDS.to_vec())
+    .with_boundaries(WAIT_BUCKETS_S.to_vec())
     .build()
 }
 
-/// A counter.
-pub(crate) fn count(meter: &Meter, name: &'static str, text: &'static str) -> Counter<u64> {
-  meter.u64_counter(name).with_description(text).build()
+/// Creates a counter.
+pub(crate) fn counter(
+  meter: &Meter,
+  name: &'static str,
+  description: &'static str,
+) -> Counter<u64> {
+  meter
+    .u64_counter(name)
+    .with_description(description)
+    .build()
 }
 
-/// A label of an instrument.
+/// Creates a label of an instrument.
 pub(crate) fn label(key: &'static str, value: &str) -> KeyValue {
   KeyValue::new(key, value.to_string())
 }
 
-/// Milliseconds as seconds.
-pub(crate) fn ms(ms: u64) -> f64 {
+/// Converts milliseconds to seconds.
+pub(crate) fn ms_to_s(ms: u64) -> f64 {
   ms as f64 / 1_000.0
 }
--- a/src/instance.rs
+++ b/src/instance.rs
@@ -1,4 +1,4 @@
-//! A running instance: the reducer's thread and what carries out its effects.
+//! A running instance: the reducer's thread and the executor of its effects.
 
 use crate::{
   batch::Item,
@@ -33,13 +33,13 @@
   time::{Duration, SystemTime, UNIX_EPOCH},
 };
 
-/// Longest pause between two events of the reducer.
-const TICK: Duration = Duration::from_millis(10);
-/// Threads for platform calls, for orders and for status questions.
+/// Maximum time between two events of the reducer.
+const TICK_INTERVAL: Duration = Duration::from_millis(10);
+/// Number of threads for platform calls, for orders and for status requests.
 const PLATFORM_THREADS: usize = 8;
 const ORDER_THREADS: usize = 8;
 const POLL_THREADS: usize = 4;
-/// Stack of a thread that carries a request, bytes.
+/// Stack size of a thread that handles a request.
 pub const STACK_BYTES: usize = 192 << 10;
 
 /// A running instance.
@@ -59,7 +59,7 @@
       .map_err(io::Error::other)?
       .as_millis() as u64;
     let (input, inputs) = channel();
-    let metrics = Metrics::open().map_err(|error| io::Error::other(error.to_string()))?;
+    let metrics = Metrics::new().map_err(|error| io::Error::other(error.to_string()))?;
     let shared = Arc::new(Shared {
       boot,
       log,
@@ -75,13 +75,13 @@
       watching: AtomicBool::new(false),
       settings,
     });
-    let sink = shared.clone();
+    let event_sink = shared.clone();
     let port = Port::bind(
       &shared.settings.peers,
       &shared.settings.instance,
       boot,
       shared.traffic.clone(),
-      Arc::new(move |event| sink.notify(event)),
+      Arc::new(move |event| event_sink.notify(event)),
     )?;
     let operators = operators::bind(&shared)?;
     let callers = callers::bind(&shared)?;
@@ -89,10 +89,10 @@
     let me = identity(&shared, peers, operators);
     let (finished, stopped) = channel();
     watchers::spawn(&shared)?;
-    let hands = Hands::open(shared.clone(), port)?;
+    let executor = Executor::new(shared.clone(), port)?;
     let state = State::new(me, shared.settings.limits.clone(), rand::random(), boot);
     let builder = thread::Builder::new().name("reducer".into());
-    builder.spawn(move || run(state, &hands, &inputs, &finished))?;
+    builder.spawn(move || run_reducer(state, &executor, &inputs, &finished))?;
     Ok(Self {
       shared,
       callers,
@@ -102,15 +102,15 @@
     })
   }
 
-  /// Begins a planned stop.
+  /// Starts a planned stop.
   pub fn stop(&self) {
     self.shared.stopping.store(true, Ordering::Relaxed);
     self.shared.notify(Event::Stop);
   }
 
-  /// Waits until a planned stop is done.
+  /// Waits until a planned stop is complete.
   pub fn wait(&self) {
-    // An error says the same: the reducer has ended.
+    // An error also means that the reducer has ended.
     let _ = self.stopped.recv();
   }
 }
@@ -127,29 +127,34 @@
   }
 }
 
-fn run(mut state: State, hands: &Hands, inputs: &Receiver<Input>, finished: &Sender<()>) {
+fn run_reducer(
+  mut state: State,
+  executor: &Executor,
+  inputs: &Receiver<Input>,
+  finished: &Sender<()>,
+) {
   loop {
-    let event = match inputs.recv_timeout(TICK) {
+    let event = match inputs.recv_timeout(TICK_INTERVAL) {
       Ok(Input::Event(event)) => event,
-      Ok(Input::Look(look)) => {
-        look(&state);
+      Ok(Input::Query(query)) => {
+        query(&state);
         continue;
       }
       Err(RecvTimeoutError::Timeout) => Event::Tick,
       Err(RecvTimeoutError::Disconnected) => return,
     };
-    for effect in reduce(&mut state, hands.shared.now(), event) {
+    for effect in reduce(&mut state, executor.shared.now(), event) {
       if effect == Effect::Stopped {
         let _ = finished.send(());
       } else {
-        hands.carry_out(effect);
+        executor.execute(effect);
       }
     }
   }
 }
 
-/// Threads and clients that carry out effects.
-struct Hands {
+/// Executes effects with its threads and clients.
+struct Executor {
   shared: Arc<Shared>,
   port: Port,
   platform: Pool,
@@ -157,8 +162,8 @@
   polls: Pool,
 }
 
-impl Hands {
-  fn open(shared: Arc<Shared>, port: Port) -> io::Result<Self> {
+impl Executor {
+  fn new(shared: Arc<Shared>, port: Port) -> io::Result<Self> {
     Ok(Self {
       shared,
       port,
@@ -168,7 +173,7 @@
     })
   }
 
-  fn carry_out(&self, effect: Effect) {
+  fn execute(&self, effect: Effect) {
     let shared = self.shared.clone();
     match effect {
       Effect::Send(attempt) => shared.send(attempt.ticket, Directive::Send(attempt)),
@@ -190,12 +195,12 @@
         shared.notify(Event::Updated { tag, name, outcome });
       }),
       Effect::Remove { name, version } => self.platform.run(move || {
-        // One that fails is listed again, and tried again by its owner then.
+        // If the removal fails, the object is listed again and its owner retries then.
         let _ = shared.platform.remove(&name, version);
       }),
       Effect::Order { order, step } => self.orders.run(move || {
         let replica = order.replica;
-        // A pause between decision and here must not let an old order out.
+        // An order that was delayed since its decision must not be sent once it is too old.
         let outcome = match shared.now() < order.fresh_until {
           true => engine::order(&order, &shared.settings.limits),
           false => order::Outcome::NotSent,
@@ -258,14 +263,14 @@
       let (shared, id) = (shared.clone(), id.clone());
       move || {
         let (ticket, directives) = shared.open_ticket();
-        let ask = Descriptor {
+        let descriptor = Descriptor {
           ticket,
           work: Work::Model { model },
           class,
           deadline,
           caller,
         };
-        let item = completions::run_item(&shared, ask, &directives, prompt, max_tokens);
+        let item = completions::run_item(&shared, descriptor, &directives, prompt, max_tokens);
         shared.close_ticket(ticket);
         shared.notify(Event::ItemEnded {
           id,
--- a/src/journal.rs
+++ b/src/journal.rs
@@ -1,10 +1,10 @@
-//! The time line of one instance: a bounded record of changes of state.
+//! The timeline of one instance: a bounded record of state changes.
 
 use crate::{refusal::Reason, verdict::Verdict};
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 
-/// A change of state.
+/// A state change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", tag = "what")]
 pub enum Entry {
@@ -41,13 +41,13 @@
     replica: String,
     server: String,
   },
-  /// A request that waited for a load got its dispatch.
+  /// A request was dispatched after it waited for a load.
   Cold {
     model: String,
     policy: String,
     waited_ms: u64,
   },
-  /// A request got its dispatch without a load.
+  /// A request was dispatched without a load.
   Warm {
     policy: String,
     waited_ms: u64,
@@ -57,7 +57,7 @@
     reason: Reason,
     verdict: Verdict,
   },
-  /// A loaded replica stood idle.
+  /// A loaded replica was idle.
   Idle {
     model: String,
     policy: String,
@@ -70,7 +70,7 @@
     instance: String,
     state: String,
   },
-  /// Objects came into force; the newest has this version.
+  /// Configuration objects took effect; `version` is the version of the newest.
   Configured {
     objects: usize,
     version: u64,
@@ -89,7 +89,7 @@
 }
 
 impl Entry {
-  /// Whether the entry is a count rather than a change of state worth a line.
+  /// Whether the entry counts an event rather than being a state change worth a log line.
   pub fn is_count(&self) -> bool {
     matches!(
       self,
@@ -103,7 +103,7 @@
   }
 }
 
-/// An entry's fields for a line of the log, named and typed.
+/// The fields of an entry as typed key-value pairs of a log line.
 pub struct Fields<'a>(pub &'a Entry);
 
 impl slog::KV for Fields<'_> {
@@ -120,7 +120,7 @@
   }
 }
 
-/// An entry with its time, ms.
+/// An entry with its time in ms.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Line {
   pub at: u64,
@@ -128,19 +128,19 @@
   pub entry: Entry,
 }
 
-/// The newest lines.
+/// The newest lines of the timeline.
 #[derive(Debug, Default)]
 pub struct Journal {
   lines: VecDeque<Line>,
 }
 
-/// Lines kept.
-const LIMIT: usize = 10_000;
+/// Maximum number of lines kept.
+const MAX_LINES: usize = 10_000;
 
 impl Journal {
-  /// Adds a line; the oldest gives way.
+  /// Appends a line; drops the oldest if the journal is full.
   pub fn push(&mut self, at: u64, entry: Entry) {
-    if self.lines.len() == LIMIT {
+    if self.lines.len() == MAX_LINES {
       self.lines.pop_front();
     }
     self.lines.push_back(Line { at, entry });
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -1,7 +1,7 @@
-//! What an instance with engines measures, scraped in the Prometheus text format.
+//! Metrics of an instance with engines, scraped in the Prometheus text format.
 
 use crate::{
-  exporter::{Exporter, count, label, ms, seconds},
+  exporter::{Exporter, counter, label, ms_to_s, time_histogram},
   journal::Entry,
 };
 use opentelemetry::metrics::{Counter, Histogram};
@@ -19,14 +19,14 @@
   idle: Counter<f64>,
   claims: Counter<u64>,
   claim_writes: Counter<u64>,
-  /// Calls to the platform and those that failed, as totals.
+  /// Calls to the platform, by result.
   calls: Counter<u64>,
 }
 
 impl Metrics {
-  /// Opens the instruments.
-  pub fn open() -> Result<Self, Box<dyn std::error::Error>> {
-    let exporter = Exporter::open()?;
+  /// Creates the instruments.
+  pub fn new() -> Result<Self, Box<dyn std::error::Error>> {
+    let exporter = Exporter::new()?;
     let meter = exporter.meter();
     let idle = meter
       .f64_counter("idle_accelerator")
@@ -34,35 +34,39 @@
       .with_unit("s")
       .build();
     Ok(Self {
-      cold: seconds(&meter, "cold_start", "Wait of requests that needed a load"),
-      queue: seconds(&meter, "queue", "Wait of requests that needed none"),
-      load: seconds(&meter, "load", "From decision to loaded replica"),
-      refusals: count(&meter, "refusals", "Refusals by reason and verdict"),
-      retries: count(&meter, "retries", "Attempts after the first"),
-      decisions: count(&meter, "loads_decided", "Replicas decided"),
-      unloads: count(&meter, "unloads", "Replicas let go"),
-      claims: count(&meter, "claims", "Claim changes written"),
-      claim_writes: count(&meter, "claim_writes", "Updates that carried them"),
-      calls: count(&meter, "platform_calls", "Calls to the platform by result"),
+      cold: time_histogram(&meter, "cold_start", "Wait of requests that needed a load"),
+      queue: time_histogram(&meter, "queue", "Wait of requests that needed none"),
+      load: time_histogram(&meter, "load", "From decision to loaded replica"),
+      refusals: counter(&meter, "refusals", "Refusals by reason and verdict"),
+      retries: counter(&meter, "retries", "Attempts after the first"),
+      decisions: counter(&meter, "loads_decided", "Replicas decided"),
+      unloads: counter(&meter, "unloads", "Replicas let go"),
+      claims: counter(&meter, "claims", "Claim changes written"),
+      claim_writes: counter(&meter, "claim_writes", "Updates that carried them"),
+      calls: counter(&meter, "platform_calls", "Calls to the platform by result"),
       idle,
       exporter,
     })
   }
 
-  /// Counts a journal entry.
-  pub fn count(&self, entry: &Entry) {
+  /// Records a journal entry.
+  pub fn record_entry(&self, entry: &Entry) {
     match entry {
       Entry::Cold {
         policy, waited_ms, ..
-      } => self.cold.record(ms(*waited_ms), &[label("policy", policy)]),
+      } => self
+        .cold
+        .record(ms_to_s(*waited_ms), &[label("policy", policy)]),
       Entry::Warm { policy, waited_ms } => {
         self
           .queue
-          .record(ms(*waited_ms), &[label("policy", policy)]);
+          .record(ms_to_s(*waited_ms), &[label("policy", policy)]);
       }
       Entry::Ready {
         policy, took_ms, ..
-      } => self.load.record(ms(*took_ms), &[label("policy", policy)]),
+      } => self
+        .load
+        .record(ms_to_s(*took_ms), &[label("policy", policy)]),
       Entry::Refused {
         policy,
         reason,
@@ -80,7 +84,7 @@
       Entry::Retiring { why, .. } => self.unloads.add(1, &[label("why", why)]),
       Entry::Idle {
         policy, ms: idle, ..
-      } => self.idle.add(ms(*idle), &[label("policy", policy)]),
+      } => self.idle.add(ms_to_s(*idle), &[label("policy", policy)]),
       Entry::Claimed { grouped } => {
         self.claims.add(u64::from(*grouped), &[]);
         self.claim_writes.add(1, &[]);
@@ -89,16 +93,16 @@
     }
   }
 
-  /// Counts platform calls made since the last count.
-  pub fn platform(&self, answered: u64, failed: u64) {
+  /// Records platform calls made since the previous call of this method.
+  pub fn record_platform_calls(&self, answered: u64, failed: u64) {
     self.calls.add(answered, &[label("result", "answered")]);
     self.calls.add(failed, &[label("result", "failed")]);
   }
 
-  /// All instruments in the text format.
+  /// Encodes all instruments in the text format.
   pub fn text(&self) -> String {
     let mut text = Vec::new();
-    // Writing to memory does not fail; an encoding fault leaves the text short.
+    // Writing to memory does not fail; an encoding error truncates the text.
     let _ = self.exporter.encode(&mut text);
     String::from_utf8_lossy(&text).into_owned()
   }
--- a/src/operators.rs
+++ b/src/operators.rs
@@ -1,32 +1,32 @@
-//! The operators' port: health, metrics, status and time line.
+//! The operators' HTTP port: health, metrics, status, configuration and timeline.
 
 use crate::{shared::Shared, status::Configuration};
 use rouille::{Request, Response, Server};
 use std::{io, net::SocketAddr, sync::Arc, sync::atomic::Ordering, thread, time::Duration};
 
-/// Pause between two looks for requests.
-const POLL: Duration = Duration::from_millis(100);
-/// Threads that answer operators.
+/// Timeout of one poll for requests.
+const POLL_TIMEOUT: Duration = Duration::from_millis(100);
+/// Number of threads that serve operators.
 const THREADS: usize = 2;
 
-/// Binds the port and answers until the process ends.
+/// Binds the port and serves requests until the process ends.
 pub fn bind(shared: &Arc<Shared>) -> io::Result<SocketAddr> {
   let address = shared.settings.operators.clone();
   let shared = shared.clone();
-  let server = Server::new(address, move |request| answer(&shared, request))
+  let server = Server::new(address, move |request| respond(&shared, request))
     .map_err(|error| io::Error::other(error.to_string()))?
     .pool_size(THREADS);
   let address = server.server_addr();
   let builder = thread::Builder::new().name("operators".into());
   builder.spawn(move || {
     loop {
-      server.poll_timeout(POLL);
+      server.poll_timeout(POLL_TIMEOUT);
     }
   })?;
   Ok(address)
 }
 
-fn answer(shared: &Shared, request: &Request) -> Response {
+fn respond(shared: &Shared, request: &Request) -> Response {
   match request.url().as_str() {
     "/health" => health(shared),
     "/metrics" => Response::text(shared.metrics.text()),
@@ -34,7 +34,7 @@
       Some(status) => Response::json(&status),
       None => Response::text("no status").with_status_code(503),
     },
-    "/configuration" => match shared.query(Configuration::of) {
+    "/configuration" => match shared.query(Configuration::new) {
       Some(configuration) => Response::json(&configuration),
       None => Response::text("no configuration").with_status_code(503),
     },
--- a/src/shared.rs
+++ b/src/shared.rs
@@ -1,4 +1,4 @@
-//! What the threads of an instance share.
+//! State shared by the threads of an instance.
 
 use crate::{
   attempt::{Attempt, End},
@@ -26,10 +26,10 @@
   time::Duration,
 };
 
-/// Longest wait for a look at the state.
-const LOOK: Duration = Duration::from_secs(2);
+/// Timeout of a query of the state.
+const QUERY_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// How a request's thread is to go on.
+/// Tells a request's thread how to continue.
 pub enum Directive {
   Send(Attempt),
   Refuse(Refusal),
@@ -37,16 +37,16 @@
   Batch(Outcome),
 }
 
-/// A look at the state, made on the reducer's thread.
-pub type Look = Box<dyn FnOnce(&State) + Send>;
+/// A query of the state, run on the reducer's thread.
+pub type Query = Box<dyn FnOnce(&State) + Send>;
 
-/// What reaches the reducer's thread.
+/// Input of the reducer's thread.
 pub enum Input {
   Event(Event),
-  Look(Look),
+  Query(Query),
 }
 
-/// What all threads of an instance share.
+/// State shared by all threads of an instance.
 pub struct Shared {
   pub settings: Settings,
   pub boot: u64,
@@ -54,9 +54,9 @@
   pub metrics: Metrics,
   pub journal: Mutex<Journal>,
   pub platform: Client,
-  /// What went between this instance and others.
+  /// Traffic counters between this instance and others.
   pub traffic: Arc<Traffic>,
-  /// A planned stop has begun.
+  /// Set once a planned stop has started.
   pub stopping: AtomicBool,
   pub(crate) input: Sender<Input>,
   pub(crate) directives: Mutex<HashMap<Ticket, Sender<Directive>>>,
@@ -65,24 +65,24 @@
   pub(crate) watching: AtomicBool,
 }
 
-/// Locks a mutex; a holder that panicked leaves usable data here.
+/// Locks a mutex, ignoring poisoning: a holder that panicked leaves usable data here.
 pub fn lock<T>(mutex: &Mutex<T>) -> std::sync::MutexGuard<'_, T> {
   mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 impl Shared {
-  /// Time, ms: wall clock at the start, monotonic after it.
+  /// Time in ms: the wall clock at the start plus the monotonic time since then.
   pub fn now(&self) -> u64 {
     self.boot + self.started.elapsed().as_millis() as u64
   }
 
-  /// Notifies the reducer of an event.
+  /// Sends an event to the reducer.
   pub fn notify(&self, event: Event) {
-    // Fails only after the reducer has ended, with the process.
+    // Fails only after the reducer has ended, when the process ends too.
     let _ = self.input.send(Input::Event(event));
   }
 
-  /// A new ticket with the channel on which its directives come.
+  /// Creates a ticket and the channel that receives its directives.
   pub fn open_ticket(&self) -> (Ticket, Receiver<Directive>) {
     let ticket = Ticket(self.tickets.fetch_add(1, Ordering::Relaxed) + 1);
     let (sender, receiver) = channel();
@@ -90,36 +90,37 @@
     (ticket, receiver)
   }
 
-  /// Forgets a ticket.
+  /// Removes a ticket.
   pub fn close_ticket(&self, ticket: Ticket) {
     lock(&self.directives).remove(&ticket);
   }
 
-  /// Notifies a request's thread how it goes on.
+  /// Sends a directive to a request's thread.
   pub fn send(&self, ticket: Ticket, directive: Directive) {
     if let Some(sender) = lock(&self.directives).get(&ticket) {
-      // The request's thread has ended: nobody is left to notify.
+      // Fails if the request's thread has ended.
       let _ = sender.send(directive);
     }
   }
 
-  /// What a look at the state finds; none when the reducer does not answer.
+  /// Runs a query of the state on the reducer's thread; `None` if the reducer does not
+  /// respond in time.
   pub fn query<T: Send + 'static>(
     &self,
-    look: impl FnOnce(&State) -> T + Send + 'static,
+    query: impl FnOnce(&State) -> T + Send + 'static,
   ) -> Option<T> {
     let (sender, receiver) = channel();
-    let look: Look = Box::new(move |state| {
-      // The asker may have given up.
-      let _ = sender.send(look(state));
+    let query: Query = Box::new(move |state| {
+      // The querying thread may have timed out.
+      let _ = sender.send(query(state));
     });
-    self.input.send(Input::Look(look)).ok()?;
-    receiver.recv_timeout(LOOK).ok()
+    self.input.send(Input::Query(query)).ok()?;
+    receiver.recv_timeout(QUERY_TIMEOUT).ok()
   }
 
   /// The instance's state, for operators.
   pub fn status(&self) -> Option<Status> {
-    let status = self.query(Status::of)?;
+    let status = self.query(Status::new)?;
     let sent = self.traffic.sent.load(Ordering::Relaxed);
     let received = self.traffic.received.load(Ordering::Relaxed);
     Some(Status {
@@ -129,16 +130,16 @@
     })
   }
 
-  /// Lines of the time line after `since`, ms.
+  /// Lines of the timeline after `since`, in ms.
   pub fn lines(&self, since: u64) -> Vec<Line> {
     let journal = lock(&self.journal);
     let lines = journal.lines().filter(|line| line.at > since);
     lines.cloned().collect()
   }
 
-  /// Records a change of state.
+  /// Records an entry in the metrics and the journal, and logs it if it is a state change.
   pub fn record(&self, entry: Entry) {
-    self.metrics.count(&entry);
+    self.metrics.record_entry(&entry);
     if !entry.is_count() {
       info!(self.log, "changed"; journal::Fields(&entry));
     }
@@ -146,7 +147,7 @@
   }
 }
 
-/// Notifies the reducer of an attempt's end.
+/// Notifies the reducer of the end of an attempt.
 pub fn notify_attempt_ended(
   shared: &Shared,
   attempt: &Attempt,
--- a/src/status.rs
+++ b/src/status.rs
@@ -1,4 +1,4 @@
-//! What an instance knows, for operators.
+//! State of an instance, as shown to operators.
 
 use crate::{
   fact::{Body, Health, Key, MachineState},
@@ -8,7 +8,7 @@
 };
 use serde::{Deserialize, Serialize};
 
-/// A replica, as the instance sees it.
+/// A replica, as known to the instance.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Replica {
   pub id: String,
@@ -19,9 +19,9 @@
   pub ready: bool,
 }
 
-/// Which policy rules a model, and why.
+/// The policy that applies to a model, and why.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Ruling {
+pub struct EffectivePolicy {
   pub model: String,
   pub policy: String,
   pub why: String,
@@ -34,7 +34,7 @@
   pub version: u64,
 }
 
-/// A configuration object that was not taken.
+/// A configuration object that was rejected.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Rejected {
   pub object: String,
@@ -56,17 +56,17 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Status {
   pub instance: String,
-  /// Takes new requests.
+  /// Whether the instance accepts new requests.
   pub serving: bool,
   pub members: Vec<Member>,
-  /// Configuration objects in force.
+  /// Number of configuration objects in force.
   pub configured: usize,
   pub rejected: Vec<Rejected>,
   pub replicas: Vec<Replica>,
   pub leaving: Vec<String>,
-  /// Requests between arrival and final answer.
+  /// Number of requests between arrival and final response.
   pub requests: usize,
-  /// Requests waiting for a replica.
+  /// Number of requests waiting for a replica.
   pub waiting: usize,
   pub jobs: usize,
   pub owned: usize,
@@ -80,8 +80,8 @@
 }
 
 impl Status {
-  /// The state's summary.
-  pub fn of(state: &State) -> Self {
+  /// Summarizes the state.
+  pub fn new(state: &State) -> Self {
     let groups = state.groups.values();
     Self {
       instance: state.me.instance.clone(),
@@ -108,16 +108,16 @@
 pub struct Configuration {
   pub configured: Vec<Configured>,
   pub dangling: Vec<String>,
-  pub rulings: Vec<Ruling>,
+  pub rulings: Vec<EffectivePolicy>,
 }
 
 impl Configuration {
-  /// The state's configuration.
-  pub fn of(state: &State) -> Self {
+  /// The configuration in force in `state`.
+  pub fn new(state: &State) -> Self {
     Self {
       configured: configured(state),
       dangling: state.catalog.dangling(),
-      rulings: rulings(state),
+      rulings: effective_policies(state),
     }
   }
 }
@@ -187,9 +187,9 @@
   replicas
 }
 
-fn rulings(state: &State) -> Vec<Ruling> {
+fn effective_policies(state: &State) -> Vec<EffectivePolicy> {
   let models = state.catalog.models.iter();
-  let rulings = models.map(|(name, model)| {
+  let policies = models.map(|(name, model)| {
     let matching: Vec<String> = state
       .catalog
       .policies
@@ -207,13 +207,13 @@
       true => "no policy selects it".to_string(),
       false => format!("selected by {}", matching.join(", ")),
     };
-    Ruling {
+    EffectivePolicy {
       model: name.clone(),
       policy: state.effective_policy(model, 0),
       why,
     }
   });
-  rulings.collect()
+  policies.collect()
 }
 
 fn leaving(state: &State) -> Vec<String> {
--- a/src/store.rs
+++ b/src/store.rs
@@ -1,33 +1,33 @@
-//! The platform's store, as far as routing needs it: objects by kind and name
-//! with revisions, conditional writes and watches.
+//! Interface to the platform's store, as far as routing needs it: objects by kind and
+//! name with revisions, conditional writes and watches.
 //!
-//! A deployment's own spelling is behind these closures.
+//! The closures hide the protocol of the deployment's store.
 
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 use std::{fmt, time::Duration};
 
-/// A point in the store's history. Numbers are given out again when the store comes back from an
-/// older copy, so they are compared within one era.
+/// A point in the store's history. Numbers are reused when the store is restored from an older
+/// copy, so they are only comparable within one era.
 #[derive(
   Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Revision {
-  /// Rises each time the store comes back from a copy.
+  /// Increases each time the store is restored from a copy.
   pub era: u64,
-  /// Rises with every change of an era; 0: before all.
+  /// Increases with every change within an era; 0 is before the first change.
   pub number: u64,
 }
 
 impl Revision {
-  /// Where an era begins.
+  /// The start of an era.
   pub fn first(era: u64) -> Self {
     Self { era, number: 0 }
   }
 }
 
 impl From<u64> for Revision {
-  /// A number of a store that never came back from a copy.
+  /// A revision number of a store that was never restored from a copy.
   fn from(number: u64) -> Self {
     Self { era: 0, number }
   }
@@ -48,46 +48,46 @@
   pub spec: Value,
 }
 
-/// Some of a kind's objects.
+/// A page of the objects of one kind.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Page {
   pub objects: Vec<Object>,
-  /// More objects follow the last one here.
+  /// Whether more objects follow the last one of this page.
   pub more: bool,
   /// The store's revision.
   pub revision: Revision,
 }
 
-/// What has changed since a revision.
+/// Changes since a revision.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Changes {
-  /// Objects, and whether each was removed.
+  /// Changed objects, each with whether it was removed.
   pub objects: Vec<(Object, bool)>,
   /// The store's revision.
   pub revision: Revision,
 }
 
-/// Why a call brought nothing.
+/// Why a call failed.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Error {
-  /// The object has another revision, or exists already.
+  /// The object has another revision or already exists.
   Conflict,
-  /// There is no such object, as of an era.
+  /// The object does not exist as of this era.
   Absent { era: u64 },
-  /// The store has forgotten what came after the revision.
+  /// The store no longer has the changes after the revision.
   HistoryGone,
-  /// The store did nothing; the status says why.
+  /// The store rejected the call and did nothing; the status says why.
   Refused(u16),
-  /// No connection came up: nothing was done.
+  /// No connection was established, so nothing was done.
   Unreached,
-  /// No answer: a write may have been done, or may be done yet.
+  /// No response: a write may have been done, or may still be done.
   NoAnswer,
-  /// The answer is not understood.
+  /// The response could not be interpreted.
   Malformed(String),
 }
 
 impl Error {
-  /// Whether a write may have been done, or may be done yet.
+  /// Whether a write may have been done, or may still be done.
   pub fn may_have_run(&self) -> bool {
     matches!(self, Self::NoAnswer | Self::Malformed(_))
   }
@@ -96,13 +96,13 @@
 impl fmt::Display for Error {
   fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
     match self {
-      Self::Conflict => f.write_str("another revision is there"),
-      Self::Absent { .. } => f.write_str("object is absent"),
-      Self::HistoryGone => f.write_str("history is gone"),
+      Self::Conflict => f.write_str("revision conflict"),
+      Self::Absent { .. } => f.write_str("object does not exist"),
+      Self::HistoryGone => f.write_str("history is no longer available"),
       Self::Refused(status) => write!(f, "refused with status {status}"),
       Self::Unreached => f.write_str("no connection"),
-      Self::NoAnswer => f.write_str("no answer"),
-      Self::Malformed(text) => write!(f, "answer not understood: {text}"),
+      Self::NoAnswer => f.write_str("no response"),
+      Self::Malformed(text) => write!(f, "malformed response: {text}"),
     }
   }
 }
@@ -115,21 +115,21 @@
 type Read = dyn Fn(&str, &str) -> Result<Object> + Send + Sync;
 type Write = dyn Fn(&str, &str, Revision, &Value) -> Result<Object> + Send + Sync;
 
-/// Calls of the store.
+/// Calls to the store.
 pub struct Store {
-  /// Objects of a kind, after a name.
+  /// Lists objects of a kind after a name.
   pub list: Box<List>,
-  /// Changes of a kind after a revision; waits for one. Those of a later era are no answer: what
-  /// was given out before the revision's number is lacking.
+  /// Waits for changes of a kind after a revision. It must not return changes of a later era, as
+  /// those up to the revision's number would be missing.
   pub watch: Box<Watch>,
   pub read: Box<Read>,
-  /// Writes an object that has a revision; number 0: that does not exist.
+  /// Writes an object if it has the given revision; number 0 requires that it does not exist.
   pub write: Box<Write>,
 }
 
 impl Store {
-  /// All objects of a kind, page by page, and the store's revision at the first page:
-  /// changes after it come again with a watch from there.
+  /// Lists all objects of a kind page by page. Returns them with the store's revision at the
+  /// first page: a watch from there returns all later changes, some of them again.
   pub fn list_all(&self, kind: &str) -> Result<(Vec<Object>, Revision)> {
     let mut objects: Vec<Object> = Vec::new();
     let mut revision: Option<Revision> = None;
@@ -140,7 +140,7 @@
       if page.revision.era != first.era {
         return Err(Error::HistoryGone);
       }
-      // A page without objects would be asked for again and again.
+      // An empty page ends the listing: it would otherwise be requested endlessly.
       let more = page.more && !page.objects.is_empty();
       objects.extend(page.objects);
       if !more {
--- a/src/watchers.rs
+++ b/src/watchers.rs
@@ -1,4 +1,4 @@
-//! Threads that read the platform's configuration and list for the fleet.
+//! Threads that watch the platform's configuration and list its instances for the fleet.
 
 use crate::{event::Event, journal::Entry, object::Kind, shared::Shared};
 use std::{
@@ -8,14 +8,14 @@
   time::Duration,
 };
 
-/// Longest wait of one watch.
-const WATCH: Duration = Duration::from_secs(5);
-/// Pause before a failed watch is made again.
-const WATCH_PAUSE: Duration = Duration::from_millis(200);
-/// Reads of the list between two listings of batches.
-const BATCH_LIST_EVERY: u32 = 10;
+/// Timeout of one watch call.
+const WATCH_TIMEOUT: Duration = Duration::from_secs(5);
+/// Base delay before a failed watch is retried.
+const WATCH_RETRY_DELAY: Duration = Duration::from_millis(200);
+/// Reads of the instance list per listing of batches.
+const READS_PER_BATCH_LIST: u32 = 10;
 
-/// Starts the threads; they read only while the reducer has them watch.
+/// Starts the threads; they only read while the reducer has enabled watching.
 pub fn spawn(shared: &Arc<Shared>) -> io::Result<()> {
   let watcher = shared.clone();
   thread::Builder::new()
@@ -28,64 +28,64 @@
   Ok(())
 }
 
-fn pause(base: Duration) {
+fn sleep_jittered(base: Duration) {
   thread::sleep(base.mul_f64(rand::random_range(0.5..1.5)));
 }
 
 fn watch(shared: &Shared) {
-  let mut after = 0;
-  let mut reached = true;
+  let mut last_revision = 0;
+  let mut is_reachable = true;
   loop {
     if !shared.watching.load(Ordering::Relaxed) {
-      pause(WATCH_PAUSE);
+      sleep_jittered(WATCH_RETRY_DELAY);
       continue;
     }
-    let answer = shared.platform.watch(after, WATCH);
-    if answer.is_ok() != reached {
-      reached = answer.is_ok();
-      shared.record(match reached {
+    let result = shared.platform.watch(last_revision, WATCH_TIMEOUT);
+    if result.is_ok() != is_reachable {
+      is_reachable = result.is_ok();
+      shared.record(match is_reachable {
         true => Entry::PlatformBack,
         false => Entry::PlatformLost,
       });
     }
-    match answer {
+    match result {
       Ok((revision, objects)) => {
-        after = after.max(revision);
+        last_revision = last_revision.max(revision);
         shared.notify(Event::ConfigurationRead(objects));
       }
-      Err(_) => pause(WATCH_PAUSE * 2),
+      Err(_) => sleep_jittered(WATCH_RETRY_DELAY * 2),
     }
   }
 }
 
 fn list(shared: &Shared) {
-  let every = Duration::from_millis(shared.settings.limits.list_ms);
+  let interval = Duration::from_millis(shared.settings.limits.list_ms);
   let mut round = 0;
-  let mut counted = (0, 0);
+  let mut recorded = (0, 0);
   loop {
-    count_calls(shared, &mut counted);
+    count_calls(shared, &mut recorded);
     if shared.watching.load(Ordering::Relaxed) {
       if let Ok((revision, entries)) = shared.platform.list() {
         shared.notify(Event::InstancesListed { revision, entries });
       }
-      if round % BATCH_LIST_EVERY == 0
+      if round % READS_PER_BATCH_LIST == 0
         && let Ok(names) = shared.platform.names(Kind::Batch)
       {
         shared.notify(Event::BatchesListed(names));
       }
       round += 1;
     }
-    pause(every);
+    sleep_jittered(interval);
   }
 }
 
-fn count_calls(shared: &Shared, counted: &mut (u64, u64)) {
+fn count_calls(shared: &Shared, recorded: &mut (u64, u64)) {
   let calls = shared.platform.calls.load(Ordering::Relaxed);
   let failed = shared.platform.failures.load(Ordering::Relaxed);
-  let new_calls = calls.saturating_sub(counted.0);
-  let new_failed = failed.saturating_sub(counted.1);
+  let new_calls = calls.saturating_sub(recorded.0);
+  let new_failed = failed.saturating_sub(recorded.1);
   shared
     .metrics
-    .platform(new_calls.saturating_sub(new_failed), new_failed);
-  *counted = (calls, failed);
+    .record_platform_calls(new_calls.saturating_sub(new_failed), new_failed);
+  *recorded = (calls, failed);
 }
