--- a/src/cold.rs
+++ b/src/cold.rs
@@ -146,7 +146,7 @@
     let model = descriptor.model.as_ref()?;
     let until = self.holdings_valid_until();
     let is_eligible = |backend: &&Backend| {
-      !self.in_need(backend)
+      !self.has_limit(backend)
         && !self.rests(backend)
         && !backend.holds(&model.name, None, until, self.now)
     };
--- a/src/crash/permit.rs
+++ b/src/crash/permit.rs
@@ -13,7 +13,7 @@
   content,
   dispatch::{Effect, End, State},
   life::Life,
-  quota::{Allowance, Bound, Id, Quota, Spending},
+  quota::{Allowance, Bound, Decision, Id, Quota},
   request::Ticket,
 };
 
@@ -36,12 +36,12 @@
 
 /// Returns the quota id of the permit for a suspect with this number of crashes.
 pub fn id(content: content::Key, crashes: u32) -> Id {
-  Id::of_leave(content.0, crashes)
+  Id::for_permit(content.0, crashes)
 }
 
 /// Returns the quota id of the permit to run a suspect on a server.
 fn server_permit_id(server: Life) -> Id {
-  Id::of_leave(u128::from_le_bytes(server.bytes()), SERVER_PERMIT)
+  Id::for_permit(u128::from_le_bytes(server.bytes()), SERVER_PERMIT)
 }
 
 /// Takes the place of the number of crashes; no suspect has 0 crashes.
@@ -49,7 +49,7 @@
 
 /// Returns the allowance of a permit; `None` if the id is not that of a permit.
 pub fn allowance(id: Id) -> Option<Allowance> {
-  id.is_leave().then_some(ALLOWANCE)
+  id.is_permit().then_some(ALLOWANCE)
 }
 
 /// Result of acquiring a permit for a copy of a suspect.
@@ -77,7 +77,7 @@
     crashes: u32,
   ) -> Permit {
     // Without a quota holder permits are granted at random, and a copy rarely gets two of them.
-    let required = crashes as usize >= SUSPECT_CRASHES && self.quotas.answers(self.now);
+    let required = crashes as usize >= SUSPECT_CRASHES && self.quotas.holder_responds(self.now);
     self.acquire(ticket, required.then(|| server_permit_id(server)))
   }
 
@@ -94,21 +94,21 @@
     let requested = requested.map(|(_, since)| since);
     match self
       .quotas
-      .spend(now, (id, &ALLOWANCE), 1, requested, self.instances)
+      .acquire(now, (id, &ALLOWANCE), 1, requested, self.instances)
     {
-      Spending::Spent => {
+      Decision::Granted => {
         request.permits.push(id);
         request.pending_unit = None;
         Permit::Granted
       }
-      Spending::Ask(until) => {
+      Decision::Pending(until) => {
         if requested.is_none() {
           request.pending_unit = Some((id, now));
           self.out.push(Effect::RequestQuota);
         }
         Permit::Requested(until)
       }
-      Spending::Over(_) => {
+      Decision::Exceeded(_) => {
         request.pending_unit = None;
         Permit::Taken
       }
@@ -125,7 +125,7 @@
       return;
     }
     for id in permits {
-      self.quotas.give_back(id, 1);
+      self.quotas.refund(id, 1);
     }
     self.permits_released = true;
     self.out.push(Effect::RequestQuota);
--- a/src/customer/credential.rs
+++ b/src/customer/credential.rs
@@ -1,6 +1,6 @@
 //! Reads who sends a request from its head.
 
-use super::{Book, Caller, Digest, Unit};
+use super::{Caller, Digest, Directory, Unit};
 use crate::http::Headers;
 use crate::quota::Id;
 
@@ -11,28 +11,28 @@
 
 /// Why a request has no customer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Lack {
+pub enum Rejection {
   /// It names no key, or more than one.
-  Wanting,
+  Missing,
   Unknown,
 }
 
-impl Lack {
+impl Rejection {
   /// The word used in logs and answers.
-  pub fn word(self) -> &'static str {
+  pub fn as_str(self) -> &'static str {
     match self {
-      Self::Wanting => "no key",
+      Self::Missing => "no key",
       Self::Unknown => "the key is not known",
     }
   }
 }
 
 /// Who sends a request; `usage` names the header that tells its tokens.
-pub fn caller(headers: &Headers, usage: &str, book: &Book) -> Result<Caller, Lack> {
-  let key = key(headers).ok_or(Lack::Wanting)?;
-  let customer = book.holder(key).ok_or(Lack::Unknown)?;
+pub fn authenticate(headers: &Headers, usage: &str, book: &Directory) -> Result<Caller, Rejection> {
+  let key = key(headers).ok_or(Rejection::Missing)?;
+  let customer = book.key_owner(key).ok_or(Rejection::Unknown)?;
   Ok(Caller {
-    customer: Id::of(&customer.name),
+    customer: Id::for_customer(&customer.name),
     key,
     priority: customer.priority,
     cost: cost(headers.get(usage), customer.unit),
@@ -56,7 +56,9 @@
 fn cost(usage: Option<&str>, unit: Unit) -> u32 {
   match unit {
     Unit::Requests => 1,
-    Unit::Tokens { plain } => usage.and_then(tokens).unwrap_or(plain),
+    Unit::Tokens {
+      default_cost: plain,
+    } => usage.and_then(tokens).unwrap_or(plain),
   }
 }
 
--- a/src/customer/mod.rs
+++ b/src/customer/mod.rs
@@ -8,9 +8,9 @@
 mod digest;
 mod turn;
 
-pub use credential::{Lack, caller};
+pub use credential::{Rejection, authenticate};
 pub use digest::Digest;
-pub use turn::Turns;
+pub use turn::Scheduler;
 
 use crate::quota::{self, Id, Quota};
 use std::collections::{BTreeSet, HashMap};
@@ -22,7 +22,7 @@
   #[default]
   Requests,
   /// Tokens of the prompt and the most that come out; this many where a request names none.
-  Tokens { plain: u32 },
+  Tokens { default_cost: u32 },
 }
 
 /// A customer.
@@ -39,22 +39,22 @@
 
 /// All customers of a deployment.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Book {
+pub struct Directory {
   customers: Vec<Customer>,
   by_id: HashMap<Id, usize>,
   by_key: HashMap<Digest, usize>,
 }
 
-impl Book {
+impl Directory {
   /// The customers, checked; an error names field and value, and no key.
-  pub fn open(customers: Vec<Customer>) -> Result<Self, String> {
+  pub fn new(customers: Vec<Customer>) -> Result<Self, String> {
     let mut book = Self::default();
     for (index, customer) in customers.iter().enumerate() {
       let name = &customer.name;
       if let Some(fault) = customer.fault() {
         return Err(fault);
       }
-      if book.by_id.insert(Id::of(name), index).is_some() {
+      if book.by_id.insert(Id::for_customer(name), index).is_some() {
         return Err(format!("customer: `{name}` is there twice"));
       }
       // Twice in one customer is one key.
@@ -76,7 +76,7 @@
   }
 
   /// The customer that holds a key.
-  pub fn holder(&self, key: Digest) -> Option<&Customer> {
+  pub fn key_owner(&self, key: Digest) -> Option<&Customer> {
     self.by_key.get(&key).map(|index| &self.customers[*index])
   }
 
@@ -86,9 +86,9 @@
   }
 
   /// Whether a caller's key still belongs to its customer.
-  pub fn admits(&self, caller: &Caller) -> bool {
-    let holder = self.holder(caller.key);
-    holder.is_some_and(|customer| Id::of(&customer.name) == caller.customer)
+  pub fn is_key_valid(&self, caller: &Caller) -> bool {
+    let holder = self.key_owner(caller.key);
+    holder.is_some_and(|customer| Id::for_customer(&customer.name) == caller.customer)
   }
 }
 
--- a/src/customer/turn.rs
+++ b/src/customer/turn.rs
@@ -13,12 +13,12 @@
 
 /// Virtual time and where each customer stands in it, in units of quotas.
 #[derive(Clone, Debug, Default)]
-pub struct Turns {
+pub struct Scheduler {
   virtual_time: u64,
   ends: HashMap<Id, u64>,
 }
 
-impl Turns {
+impl Scheduler {
   /// The tag of a request that begins to wait.
   pub fn tag(&mut self, customer: Id, cost: u32) -> u64 {
     let now = self.virtual_time;
@@ -32,7 +32,7 @@
   }
 
   /// A request with this tag went to a server.
-  pub fn went(&mut self, tag: u64) {
+  pub fn record_dispatch(&mut self, tag: u64) {
     self.virtual_time = self.virtual_time.max(tag);
   }
 }
--- a/src/deployment.rs
+++ b/src/deployment.rs
@@ -1,6 +1,6 @@
 //! The current deployment: routes, pools of backend servers and limits on requests.
 
-use crate::{customer::Book, route::Route};
+use crate::{customer::Directory, route::Route};
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
 /// A model's checkpoint with its memory use and load times.
@@ -71,5 +71,5 @@
   pub pools: BTreeMap<String, Pool>,
   pub bounds: Bounds,
   /// Customers who may send requests; `None` if requests need no key.
-  pub customers: Option<Arc<Book>>,
+  pub customers: Option<Arc<Directory>>,
 }
--- a/src/dispatch.rs
+++ b/src/dispatch.rs
@@ -13,12 +13,12 @@
   backend::{self, Backend, Holding},
   cold::{Deferrals, give_up_at},
   crash::{Admission, Filter, Permit},
-  customer::Turns,
+  customer::Scheduler,
   demand::Model,
   deployment::{Deployment, Engine},
   expiry::Expiry,
   limit::{Choice, Limits},
-  quota::{self, Allowance, Purse, Spending, Use},
+  quota::{self, Allowance, Balances, Decision, Use},
   refusal::{Reason, Refusal},
   request::Ticket,
   restored::Restored,
@@ -126,10 +126,10 @@
   pub(crate) leaving: Leaving,
   pub(crate) backoffs: Rests,
   /// Quota units that this instance may use.
-  pub(crate) quotas: Purse,
+  pub(crate) quotas: Balances,
   /// The bound on customers' quotas that all instances together keep.
   quota_bound: quota::Bound,
-  fair_queue: Turns,
+  fair_queue: Scheduler,
   /// Whether permits were released since the last report.
   pub(crate) permits_released: bool,
   rng: SmallRng,
@@ -170,9 +170,9 @@
       limits: Limits::default(),
       leaving: Leaving::default(),
       backoffs: Rests::default(),
-      quotas: Purse::open(seed),
-      quota_bound: quota::BOUND,
-      fair_queue: Turns::default(),
+      quotas: Balances::new(seed),
+      quota_bound: quota::DEFAULT_BOUND,
+      fair_queue: Scheduler::default(),
       permits_released: false,
       rng: SmallRng::seed_from_u64(seed),
       now: 0,
@@ -229,12 +229,12 @@
         self.dispatch_waiting();
       }
       Event::RecordsRead => self.records_read = true,
-      Event::QuotaUsage(sums) => self.quotas.hear(now, &sums),
+      Event::QuotaUsage(sums) => self.quotas.receive_sums(now, &sums),
       Event::Granted { sent, grants } => {
-        self.quotas.grant(now, sent, &grants);
+        self.quotas.receive_grants(now, sent, &grants);
         self.dispatch_waiting();
       }
-      Event::LimitAnnounced { ticket, rate } => self.named(ticket, rate),
+      Event::LimitAnnounced { ticket, rate } => self.record_announced_limit(ticket, rate),
       Event::Statements(statements) => self.hear_statements(&statements),
       Event::Leaving(server) => self.hear_leaving(server, now, true),
       Event::Backoff { server, backoff_ms } => self.hear_rest(server, backoff_ms),
@@ -311,7 +311,7 @@
       request.verdict,
       request.descriptor.caller,
     ) {
-      self.quotas.give_back(caller.customer, caller.cost);
+      self.quotas.refund(caller.customer, caller.cost);
     }
   }
 
@@ -342,25 +342,25 @@
     let requested_at = request.quota_requested_at;
     match self
       .quotas
-      .spend(now, customer, caller.cost, requested_at, self.instances)
+      .acquire(now, customer, caller.cost, requested_at, self.instances)
     {
-      Spending::Spent => {
+      Decision::Granted => {
         request.quota_charged = true;
         true
       }
-      Spending::Ask(until) => {
+      Decision::Pending(until) => {
         let new = request.quota_requested_at.is_none();
         request.quota_requested_at.get_or_insert(now);
         let until = until
           .min(request.descriptor.deadline)
-          .min(now + quota::AGAIN_MS);
+          .min(now + quota::GRANT_RETRY_MS);
         self.enqueue(ticket, until);
         if new {
           self.out.push(Effect::RequestQuota);
         }
         false
       }
-      Spending::Over(retry_after) => {
+      Decision::Exceeded(retry_after) => {
         self.refuse_with_retry_after(ticket, Reason::QuotaExceeded, retry_after);
         false
       }
@@ -411,7 +411,7 @@
   }
 
   /// The quota state of this instance.
-  pub fn quotas(&self) -> &Purse {
+  pub fn quotas(&self) -> &Balances {
     &self.quotas
   }
 
@@ -474,19 +474,19 @@
     let choice = match pass {
       Admission::Delayed(until) => return self.wait_for_turn(ticket, until),
       // Don't request a permit that could not be used.
-      Admission::Isolated(_) if self.candidates(ticket).is_empty() => Choice::Nobody,
+      Admission::Isolated(_) if self.candidates(ticket).is_empty() => Choice::Unavailable,
       Admission::Isolated(crashes) => match self.acquire_permit(ticket, crashes) {
-        Permit::Granted => self.choose(ticket, Some(crashes)),
+        Permit::Granted => self.choose_server(ticket, Some(crashes)),
         Permit::Requested(until) => return self.wait_for_turn(ticket, until),
-        Permit::Taken => return self.wait_for_turn(ticket, self.now + quota::AGAIN_MS),
+        Permit::Taken => return self.wait_for_turn(ticket, self.now + quota::GRANT_RETRY_MS),
       },
-      Admission::Allowed | Admission::Denied => self.choose(ticket, None),
+      Admission::Allowed | Admission::Denied => self.choose_server(ticket, None),
     };
     match choice {
       Choice::Server(key) => self.send(ticket, key),
-      Choice::Ask(until) => self.wait_for_unit(ticket, until),
-      Choice::Full(after) => self.hold_full(ticket, after),
-      Choice::Nobody => self.wait_for_server(ticket),
+      Choice::Pending(until) => self.wait_for_unit(ticket, until),
+      Choice::AtLimit(after) => self.wait_or_refuse(ticket, after),
+      Choice::Unavailable => self.wait_for_server(ticket),
     }
   }
 
@@ -497,7 +497,7 @@
     };
     let until = until
       .min(request.descriptor.deadline)
-      .min(self.now + quota::AGAIN_MS);
+      .min(self.now + quota::GRANT_RETRY_MS);
     self.enqueue(ticket, until);
   }
 
@@ -586,7 +586,7 @@
     request.first_event_at = None;
     let waiting_key = queue_key(request);
     if let Some(tag) = request.tag.take() {
-      self.fair_queue.went(tag);
+      self.fair_queue.record_dispatch(tag);
     }
     let backend = &mut self.backends[key];
     backend.running += 1;
--- a/src/dispatch/ending.rs
+++ b/src/dispatch/ending.rs
@@ -36,7 +36,7 @@
       request.tried.push(key);
     }
     request.verdict = request.verdict.and(end.verdict());
-    self.free_room(ticket, end.may_have_reached_server());
+    self.release_limit_unit(ticket, end.may_have_reached_server());
     self.release_permits(ticket, Some(end));
     let Some(request) = self.requests.get(&ticket) else {
       return;
--- a/src/entry.rs
+++ b/src/entry.rs
@@ -361,7 +361,7 @@
   let Some(customers) = &deployment.customers else {
     return Ok(None);
   };
-  let caller = customer::caller(&head.headers, hub.dialect.token_usage, customers);
+  let caller = customer::authenticate(&head.headers, hub.dialect.token_usage, customers);
   if route.public {
     // A valid key identifies its customer on a public route as well.
     return Ok(caller.ok().filter(|_| hub.keys_fresh()));
--- a/src/exchange.rs
+++ b/src/exchange.rs
@@ -290,7 +290,7 @@
       // An update for a single instance must not count as the periodic publication to all.
       sums: match update.to {
         Some(_) => None,
-        None => self.sums(now),
+        None => self.due_sums(now),
       },
     };
     self.send_parts(header, update, &others);
--- a/src/gossip.rs
+++ b/src/gossip.rs
@@ -77,7 +77,7 @@
       self.gossip.urgent_seq = self.facts.newest_seq();
       self.gossip.urgent_changed_at = self.now;
     }
-    self.learn(&key);
+    self.apply_fact(&key);
   }
 
   /// Refutes a fact that reports this process as suspect or dead, and returns whether it
--- a/src/health.rs
+++ b/src/health.rs
@@ -86,7 +86,9 @@
   let list = list.and_then(|deployment| deployment.customers.clone());
   let customers = list.iter().flat_map(|list| list.all());
   let customers = customers.map(|customer| {
-    let (used, left) = state.quotas().standing(now, Id::of(&customer.name));
+    let (used, left) = state
+      .quotas()
+      .standing(now, Id::for_customer(&customer.name));
     json!({
       "name": customer.name, "keys": customer.keys.len(), "priority": customer.priority,
       "rate": customer.quota.map(|quota| quota.rate),
--- a/src/hub.rs
+++ b/src/hub.rs
@@ -161,7 +161,7 @@
     }
     let state = self.state();
     let book = state.deployment.as_ref()?.customers.as_ref()?;
-    (!book.admits(caller)).then_some(End::Barred)
+    (!book.is_key_valid(caller)).then_some(End::Barred)
   }
 
   /// Milliseconds since the start on the monotonic clock.
--- a/src/learn.rs
+++ b/src/learn.rs
@@ -14,7 +14,7 @@
 
 impl State {
   /// Brings derived state up to date with the fact now held for `key`.
-  pub fn learn(&mut self, key: &Key) {
+  pub fn apply_fact(&mut self, key: &Key) {
     let Some((body, version)) = self.facts.get(key) else {
       return;
     };
@@ -85,7 +85,7 @@
   }
 
   /// Records what came into force since the last round.
-  pub fn note_updates(&mut self) {
+  pub fn log_updates(&mut self) {
     let (objects, version) = std::mem::take(&mut self.updates);
     if objects > 0 {
       self.log(Entry::Configured { objects, version });
@@ -104,7 +104,7 @@
 
   /// Takes up objects read from the platform; one that fails its check leaves the
   /// last good one in force.
-  pub fn on_watched(&mut self, objects: Vec<Object>) {
+  pub fn on_configuration_read(&mut self, objects: Vec<Object>) {
     for object in objects {
       let key = Key::Object(object.name.clone());
       let rejected = self.facts.version(&Key::Rejected(object.name.clone()));
@@ -120,7 +120,7 @@
   }
 
   /// Takes up the platform's list; what was listed and no longer is has gone.
-  pub fn on_listed(&mut self, revision: u64, entries: Vec<Listing>) {
+  pub fn on_instances_listed(&mut self, revision: u64, entries: Vec<Listing>) {
     for entry in &entries {
       if let (Some(peer), true) = (&entry.peer, entry.state != MachineState::Gone) {
         self.seed(&entry.id, peer);
@@ -197,7 +197,7 @@
     let me = &self.me.instance;
     let zone = self.zone_members();
     let watch = zone.is_empty()
-      || crate::rendezvous::is_top_ranked(&zone, &self.me.zone, me, WATCHERS)
+      || crate::rendezvous::is_top_ranked(&zone, &self.me.zone, me, WATCHERS_PER_ZONE)
       || !self.configured;
     if watch != self.watching {
       self.watching = watch;
@@ -222,4 +222,4 @@
 }
 
 /// Instances of an availability zone that read the platform for the others.
-pub const WATCHERS: usize = 2;
+pub const WATCHERS_PER_ZONE: usize = 2;
--- a/src/limit/mod.rs
+++ b/src/limit/mod.rs
@@ -90,13 +90,13 @@
   }
 
   /// What may be sent to a server, by the name of its quota.
-  pub fn allow(&self, id: Id) -> Option<Allowance> {
+  pub fn allowance(&self, id: Id) -> Option<Allowance> {
     let server = self.ids.get(&id)?;
     self.rate(*server).map(allowance)
   }
 
   /// Servers that named limits, and those whose limits ended lately.
-  pub fn all(&self, now: u64) -> Vec<Statement> {
+  pub fn statements(&self, now: u64) -> Vec<Statement> {
     let said = self.said.iter();
     let fresh = |limit: &Limit| limit.rate.is_some() || now < limit.at + ENDED_MS;
     said
@@ -112,7 +112,7 @@
   }
 
   /// The same by the name of its quota.
-  pub fn statement_of(&self, id: Id, now: u64) -> Option<Statement> {
+  pub fn statement_by_id(&self, id: Id, now: u64) -> Option<Statement> {
     self.statement(*self.ids.get(&id)?, now)
   }
 
@@ -126,7 +126,7 @@
 
   /// Takes up what a server said at a time, ms; whether that changes what is known. `own`: this
   /// instance heard it of the server.
-  pub fn hear(&mut self, server: Life, rate: Option<f64>, at: u64, own: bool) -> bool {
+  pub fn update(&mut self, server: Life, rate: Option<f64>, at: u64, own: bool) -> bool {
     let known = self.said.get(&server).copied();
     let known = known.unwrap_or(Limit { rate: None, at: 0 });
     let newer = match rate {
@@ -137,7 +137,7 @@
       return false;
     }
     self.said.insert(server, Limit { rate, at });
-    self.ids.insert(Id::of_life(server), server);
+    self.ids.insert(Id::for_server(server), server);
     let changed = known.rate != rate;
     if changed {
       self.changed.push((server, own));
@@ -151,7 +151,7 @@
   }
 
   /// Forgets what was said long ago by servers that are not there.
-  pub fn forget(&mut self, now: u64, there: impl Fn(Life) -> bool) {
+  pub fn prune(&mut self, now: u64, there: impl Fn(Life) -> bool) {
     self
       .said
       .retain(|server, limit| there(*server) || now < limit.at + KEPT_MS);
--- a/src/limit/room.rs
+++ b/src/limit/room.rs
@@ -7,7 +7,7 @@
   crash::Permit,
   dispatch::{Effect, Request, State},
   life::Life,
-  quota::{AGAIN_MS, Id, Spending},
+  quota::{Decision, GRANT_RETRY_MS, Id},
   refusal::Reason,
   request::Ticket,
   verdict::Verdict,
@@ -17,11 +17,11 @@
 pub(crate) enum Choice {
   Server(backend::Key),
   /// A server's unit is asked for; it is looked at again at this time, ms.
-  Ask(u64),
+  Pending(u64),
   /// Those that could take it are in need and have no room; some after so long, ms.
-  Full(u64),
+  AtLimit(u64),
   /// There is none.
-  Nobody,
+  Unavailable,
 }
 
 /// What a server's limit leaves for a request.
@@ -34,7 +34,7 @@
 impl State {
   /// Chooses the server for a request's next send; one that was in so many crashes parts from
   /// others.
-  pub(crate) fn choose(&mut self, ticket: Ticket, crashes: Option<u32>) -> Choice {
+  pub(crate) fn choose_server(&mut self, ticket: Ticket, crashes: Option<u32>) -> Choice {
     let mut found = self.candidates(ticket);
     let mut full: Option<u64> = None;
     while let Some(key) = self.pick_backend(ticket, &found, crashes) {
@@ -42,17 +42,17 @@
       let server = self.backends[key].spec.life();
       match self.acquire_server_permit(ticket, server, crashes.unwrap_or_default()) {
         Permit::Granted => {}
-        Permit::Requested(until) => return Choice::Ask(until),
+        Permit::Requested(until) => return Choice::Pending(until),
         // Another suspect is there.
         Permit::Taken => continue,
       }
       match self.room(ticket, key, found.is_empty()) {
         Room::Free => return Choice::Server(key),
-        Room::Ask(until) => return Choice::Ask(until),
+        Room::Ask(until) => return Choice::Pending(until),
         Room::Full(after) => full = Some(full.map_or(after, |least| least.min(after))),
       }
     }
-    full.map_or(Choice::Nobody, Choice::Full)
+    full.map_or(Choice::Unavailable, Choice::AtLimit)
   }
 
   /// Takes a unit of a server in need for a request, where there is one; `last`: no other server
@@ -64,29 +64,29 @@
     else {
       return Room::Free;
     };
-    let id = Id::of_life(server);
+    let id = Id::for_server(server);
     let asked = request.pending_unit.filter(|(wanted, _)| *wanted == id);
     let asked = asked.map(|(_, since)| since);
-    let patience = asked.unwrap_or(now) + AGAIN_MS;
+    let patience = asked.unwrap_or(now) + GRANT_RETRY_MS;
     if !last && now >= patience {
       // Another one can take it now.
-      return Room::Full(AGAIN_MS);
+      return Room::Full(GRANT_RETRY_MS);
     }
     let own = (id, &allowance(rate));
-    match self.quotas.spend(now, own, 1, asked, self.instances) {
-      Spending::Spent => {
+    match self.quotas.acquire(now, own, 1, asked, self.instances) {
+      Decision::Granted => {
         request.limit_unit = Some(id);
         request.pending_unit = None;
         Room::Free
       }
-      Spending::Ask(until) => {
+      Decision::Pending(until) => {
         if asked.is_none() {
           request.pending_unit = Some((id, now));
           self.out.push(Effect::RequestQuota);
         }
         Room::Ask(if last { until } else { patience })
       }
-      Spending::Over(after) => {
+      Decision::Exceeded(after) => {
         request.pending_unit = None;
         Room::Full(after)
       }
@@ -94,24 +94,24 @@
   }
 
   /// A send has ended that surely did not reach its server: its unit is free again.
-  pub(crate) fn free_room(&mut self, ticket: Ticket, reached: bool) {
+  pub(crate) fn release_limit_unit(&mut self, ticket: Ticket, reached: bool) {
     let request = self.requests.get_mut(&ticket);
     let room = request.and_then(|request| request.limit_unit.take());
     if let (Some(id), false) = (room, reached) {
-      self.quotas.give_back(id, 1);
+      self.quotas.refund(id, 1);
     }
   }
 
   /// Goes on with a request whose servers have no room, as their limits say: their model may be
   /// loaded elsewhere in time; otherwise it is refused at once. One that has begun waits for room
   /// as long as its caller does: nothing else could go on with it.
-  pub(crate) fn hold_full(&mut self, ticket: Ticket, after: u64) {
+  pub(crate) fn wait_or_refuse(&mut self, ticket: Ticket, after: u64) {
     let Some(request) = self.requests.get(&ticket).cloned() else {
       return;
     };
     let sound = self
-      .servers_of(&request)
-      .any(|backend| !self.in_need(backend));
+      .eligible_servers(&request)
+      .any(|backend| !self.has_limit(backend));
     if sound || request.verdict != Verdict::NotRun {
       return self.wait_for_server(ticket);
     }
@@ -129,7 +129,7 @@
   }
 
   /// Servers that take work and could run a request.
-  pub(crate) fn servers_of<'a>(
+  pub(crate) fn eligible_servers<'a>(
     &'a self,
     request: &'a Request,
   ) -> impl Iterator<Item = &'a Backend> {
@@ -146,12 +146,12 @@
   }
 
   /// Whether a server named a limit.
-  pub(crate) fn in_need(&self, backend: &Backend) -> bool {
+  pub(crate) fn has_limit(&self, backend: &Backend) -> bool {
     self.limits.rate(backend.spec.life()).is_some()
   }
 
   /// The answer of a send has come, and names a limit or none.
-  pub(crate) fn named(&mut self, ticket: Ticket, rate: Option<f64>) {
+  pub(crate) fn record_announced_limit(&mut self, ticket: Ticket, rate: Option<f64>) {
     let Some(request) = self.requests.get(&ticket) else {
       return;
     };
@@ -165,21 +165,21 @@
     } else {
       request.sent
     };
-    if self.limits.hear(server, rate, at, true) {
+    if self.limits.update(server, rate, at, true) {
       self.limit_changed(server, rate);
     }
   }
 
   /// Takes up what another instance heard at a time, ms, of a server's limit.
-  pub(crate) fn hear_limit(&mut self, server: Life, rate: Option<f64>, at: u64) {
-    if self.limits.hear(server, rate, at, false) {
+  pub(crate) fn receive_limit(&mut self, server: Life, rate: Option<f64>, at: u64) {
+    if self.limits.update(server, rate, at, false) {
       self.limit_changed(server, rate);
     }
   }
 
   fn limit_changed(&mut self, server: Life, rate: Option<f64>) {
     let there: Vec<_> = self.backends.values().map(|one| one.spec.life()).collect();
-    self.limits.forget(self.now, |life| there.contains(&life));
+    self.limits.prune(self.now, |life| there.contains(&life));
     self.updates += 1;
     let ids = self.backends.values();
     let id = ids
--- a/src/planner.rs
+++ b/src/planner.rs
@@ -393,8 +393,8 @@
         Ok(Message::Crashes(crashes)) => self.receive_crashes(now, &crashes),
         Ok(Message::Quarantine(entries)) => self.receive_quarantine(now, &entries, from),
         Ok(Message::Suspects(entries)) => self.hub.apply(Event::Suspected(entries), None),
-        Ok(Message::Uses(uses)) => self.hear_uses(now, &uses, from),
-        Ok(Message::Grants(answer)) => self.hear_grants(answer),
+        Ok(Message::Uses(uses)) => self.receive_uses(now, &uses, from),
+        Ok(Message::Grants(answer)) => self.receive_grants(answer),
         Ok(Message::Statements(statements)) => self.hear_statements(statements),
         Ok(Message::Promise(index, promise, store_ms)) => {
           self.receive_store_age(store_ms);
--- a/src/quota/account.rs
+++ b/src/quota/account.rs
@@ -98,7 +98,7 @@
 impl Accounts {
   /// The accounts of a holder that begins now, with what was used before some time, ms; none:
   /// it is not known. The first holder ever has the default ones.
-  pub fn open(
+  pub fn new(
     now: u64,
     sums: Option<(u64, &Sums)>,
     allow: impl Fn(Id) -> Option<Allowance>,
@@ -137,7 +137,7 @@
       .collect();
     // A leave that is not passed on costs a copy more, a quota all that it bounds.
     sums.sort_by(|one, two| {
-      let leaves = one.1.is_leave().cmp(&two.1.is_leave());
+      let leaves = one.1.is_permit().cmp(&two.1.is_permit());
       leaves.then(two.0.total_cmp(&one.0))
     });
     sums.truncate(SUMS);
@@ -193,7 +193,7 @@
     let instance = self.instances.entry(instance).or_default();
     let known = instance.lines.contains_key(&one.id);
     if !known {
-      account.window.add(now, one.apart.into());
+      account.window.add(now, one.ungranted.into());
     }
     let new = Line {
       used: one.used,
@@ -280,10 +280,10 @@
   fn forget_leaves(&mut self, now: u64) {
     self
       .accounts
-      .retain(|id, account| !id.is_leave() || account.window.sum(now) > 0.0);
+      .retain(|id, account| !id.is_permit() || account.window.sum(now) > 0.0);
     for instance in self.instances.values_mut() {
       let lines = &mut instance.lines;
-      lines.retain(|id, line| !id.is_leave() || now < line.at + LEAVE_KEPT_MS);
+      lines.retain(|id, line| !id.is_permit() || now < line.at + LEAVE_KEPT_MS);
     }
   }
 
@@ -303,7 +303,7 @@
 impl Account {
   fn open(allowance: &Allowance) -> Self {
     Self {
-      window: Window::open(allowance.bound.window_ms),
+      window: Window::new(allowance.bound.window_ms),
       ahead: 0.0,
       typical: 0.0,
       granted: 0.0,
--- a/src/quota/mod.rs
+++ b/src/quota/mod.rs
@@ -11,7 +11,7 @@
 mod window;
 
 pub use account::{Accounts, Quarters, Standing, Sums};
-pub use purse::{AGAIN_MS, Purse, Spending};
+pub use purse::{Balances, Decision, GRANT_RETRY_MS};
 pub use window::Window;
 
 use crate::life::Life;
@@ -27,22 +27,22 @@
 
 impl Id {
   /// The customer of a name.
-  pub fn of(name: &str) -> Self {
+  pub fn for_customer(name: &str) -> Self {
     Self(xxh3_64(name.as_bytes()) & !LEAVES)
   }
 
   /// One life of a backend server: the next one has named no limit yet.
-  pub fn of_life(life: Life) -> Self {
+  pub fn for_server(life: Life) -> Self {
     Self(xxh3_64_with_seed(&life.bytes(), SERVERS) & !LEAVES)
   }
 
   /// The leave of a content at a stage.
-  pub fn of_leave(content: u128, stage: u32) -> Self {
+  pub fn for_permit(content: u128, stage: u32) -> Self {
     Self(xxh3_64_with_seed(&content.to_le_bytes(), stage.into()) | LEAVES)
   }
 
   /// Whether it names a leave: whoever grants it needs to know nothing of it.
-  pub fn is_leave(self) -> bool {
+  pub fn is_permit(self) -> bool {
     self.0 & LEAVES > 0
   }
 }
@@ -74,7 +74,7 @@
 }
 
 /// What is kept where the settings state nothing else.
-pub const BOUND: Bound = Bound {
+pub const DEFAULT_BOUND: Bound = Bound {
   window_ms: 8_000,
   overage: 0.1,
   slack: 0.0,
@@ -119,7 +119,8 @@
   /// Units of requests that wait for a grant.
   pub need: u32,
   /// Units used without a grant within the last window, for a holder that has taken over.
-  pub apart: u32,
+  #[serde(rename = "apart")]
+  pub ungranted: u32,
 }
 
 /// How far an instance may go.
--- a/src/quota/purse.rs
+++ b/src/quota/purse.rs
@@ -28,7 +28,7 @@
 /// for again, and an objective is 300 or more.
 const ASK_MS: u64 = 150;
 /// Pause before what is needed is asked for again, ms.
-pub const AGAIN_MS: u64 = 40;
+pub const GRANT_RETRY_MS: u64 = 40;
 /// A customer that is beyond its quota is taken for it for so long at the most, ms: a request
 /// of another instance may have been given back.
 const OVER_MS: u64 = 200;
@@ -44,12 +44,12 @@
 
 /// What becomes of a request's units.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Spending {
-  Spent,
+pub enum Decision {
+  Granted,
   /// The holder is asked; it waits until then at the most, ms.
-  Ask(u64),
+  Pending(u64),
   /// Beyond the quota; it fits after so long, ms.
-  Over(u64),
+  Exceeded(u64),
 }
 
 #[derive(Clone, Debug, Default)]
@@ -72,7 +72,7 @@
 impl Wallet {
   /// Units used without a grant, in windows of a length, ms.
   fn apart(&mut self, length_ms: u64) -> &mut Window {
-    self.apart.get_or_insert_with(|| Window::open(length_ms))
+    self.apart.get_or_insert_with(|| Window::new(length_ms))
   }
 
   fn left(&self, now: u64) -> i64 {
@@ -96,7 +96,7 @@
     let Some(quarters) = self.sums.get(&id) else {
       return 0.0;
     };
-    let mut window = Window::open(length_ms);
+    let mut window = Window::new(length_ms);
     window.add_quarters(now, self.then, quarters);
     window.sum(now)
   }
@@ -104,7 +104,7 @@
 
 /// What one instance knows of quotas.
 #[derive(Clone, Debug)]
-pub struct Purse {
+pub struct Balances {
   wallets: HashMap<Id, Wallet>,
   /// None: nothing was heard of a holder since this instance started.
   fleet: Option<Fleet>,
@@ -120,9 +120,9 @@
   rng: SmallRng,
 }
 
-impl Purse {
+impl Balances {
   /// A purse of an instance that has started now.
-  pub fn open(seed: u64) -> Self {
+  pub fn new(seed: u64) -> Self {
     Self {
       wallets: HashMap::new(),
       fleet: None,
@@ -136,15 +136,15 @@
 
   /// Takes units of a quota for a request that waits for them since `asked`, ms, where that is
   /// allowed; `instances` share the quota.
-  pub fn spend(
+  pub fn acquire(
     &mut self,
     now: u64,
     (id, allowance): (Id, &Allowance),
     cost: u32,
     asked: Option<u64>,
     instances: usize,
-  ) -> Spending {
-    let answers = self.answers(now);
+  ) -> Decision {
+    let answers = self.holder_responds(now);
     if self.started == 0 {
       self.started = now;
     }
@@ -154,14 +154,14 @@
     wallet.active = now;
     if wallet.left(now) >= i64::from(cost) {
       wallet.used += i64::from(cost);
-      return Spending::Spent;
+      return Decision::Granted;
     }
     if now < wallet.over_until {
-      return Spending::Over(self.retry_after(now, id));
+      return Decision::Exceeded(self.retry_after(now, id));
     }
     let patience = asked.unwrap_or(now) + ASK_MS;
     if answers && now < patience {
-      return Spending::Ask(patience);
+      return Decision::Pending(patience);
     }
     // Whole requests by chance, on the average what the share holds: less than a request's
     // share is used up by either outcome, or those refused would draw again until one fits.
@@ -169,12 +169,12 @@
     if left >= units || self.rng.random_range(0.0..units.max(1.0)) < left {
       wallet.used += i64::from(cost);
       wallet.apart(length_ms).add(now, units.min(left));
-      return Spending::Spent;
+      return Decision::Granted;
     }
     wallet.apart(length_ms).add(now, left);
     let share = allowance.quota.rate / instances.max(1) as f64;
     let after = (units / share.max(f64::MIN_POSITIVE) * 1_000.0) as u64;
-    Spending::Over(after.clamp(RETRY_SPREAD_MS, RETRY_MOST_MS))
+    Decision::Exceeded(after.clamp(RETRY_SPREAD_MS, RETRY_MOST_MS))
   }
 
   /// Units that this instance may use without a grant: its part of what was left.
@@ -197,14 +197,14 @@
   }
 
   /// Takes up what all instances used within the last window, as of a time, ms.
-  pub fn hear(&mut self, then: u64, sums: &Sums) {
+  pub fn receive_sums(&mut self, then: u64, sums: &Sums) {
     let sums = sums.iter().copied().collect();
     self.fleet = Some(Fleet { then, sums });
   }
 
   /// Whether the holder answers, as far as known: where there was nothing to report for a while
   /// it was not asked.
-  pub fn answers(&self, now: u64) -> bool {
+  pub fn holder_responds(&self, now: u64) -> bool {
     self
       .unanswered
       .is_none_or(|since| now < since + UNANSWERED_MS)
@@ -217,14 +217,14 @@
   }
 
   /// A request that counted was surely not run.
-  pub fn give_back(&mut self, id: Id, cost: u32) {
+  pub fn refund(&mut self, id: Id, cost: u32) {
     if let Some(wallet) = self.wallets.get_mut(&id) {
       wallet.used -= i64::from(cost);
     }
   }
 
   /// Takes up the holder's answer to the report that was sent at a time, ms.
-  pub fn grant(&mut self, now: u64, sent: u64, grants: &[Grant]) {
+  pub fn receive_grants(&mut self, now: u64, sent: u64, grants: &[Grant]) {
     if self.answered.is_some_and(|(last, _)| sent < last) {
       // A later report was answered before.
       return;
@@ -257,7 +257,7 @@
         id: *id,
         used: wallet.used,
         need: needs.get(id).copied().unwrap_or_default(),
-        apart: wallet
+        ungranted: wallet
           .apart
           .as_mut()
           .map_or(0.0, |apart| apart.sum(now))
@@ -275,13 +275,13 @@
   }
 
   fn forget_leaves(&mut self, now: u64) {
-    let kept = |id: &Id, wallet: &Wallet| !id.is_leave() || now < wallet.active + LEAVE_IDLE_MS;
+    let kept = |id: &Id, wallet: &Wallet| !id.is_permit() || now < wallet.active + LEAVE_IDLE_MS;
     self.wallets.retain(|id, wallet| kept(id, wallet));
   }
 
   /// When what is needed is to be asked for again, ms.
-  pub fn ask_at(&self) -> u64 {
-    self.asked + AGAIN_MS
+  pub fn next_request_at(&self) -> u64 {
+    self.asked + GRANT_RETRY_MS
   }
 
   /// Units used since the start, and what is left of the grant.
--- a/src/quota/window.rs
+++ b/src/quota/window.rs
@@ -18,7 +18,7 @@
 
 impl Window {
   /// An empty window of a length, ms.
-  pub fn open(length_ms: u64) -> Self {
+  pub fn new(length_ms: u64) -> Self {
     Self {
       length_ms: length_ms.max(SLOTS),
       slots: VecDeque::new(),
--- a/src/quotas.rs
+++ b/src/quotas.rs
@@ -7,7 +7,7 @@
 
 use crate::{
   crash::permit,
-  customer::{Book, Standing},
+  customer::{Directory, Standing},
   dispatch::Event,
   hub::lock,
   limit::Limits,
@@ -44,7 +44,7 @@
 
 /// What customers may use, and servers in need may be sent.
 struct Allowances {
-  book: Option<Arc<Book>>,
+  book: Option<Arc<Directory>>,
   bound: Bound,
   limits: Limits,
 }
@@ -56,7 +56,7 @@
       let bound = self.bound;
       customer.quota.map(|quota| Allowance { quota, bound })
     });
-    own.unwrap_or_else(|| permit::allowance(id).or_else(|| self.limits.allow(id)))
+    own.unwrap_or_else(|| permit::allowance(id).or_else(|| self.limits.allowance(id)))
   }
 }
 
@@ -79,7 +79,12 @@
         self.next_uses_report_at = now + REPORT_MOST_MS;
         return;
       }
-      (state.uses(now), state.quotas().ask_at(), limited, freed)
+      (
+        state.uses(now),
+        state.quotas().next_request_at(),
+        limited,
+        freed,
+      )
     };
     let needed = uses.iter().any(|one| one.need > 0);
     if now < self.next_uses_report_at && !needed && !said && !freed {
@@ -139,7 +144,7 @@
   }
 
   /// Answers an instance that reports its uses.
-  pub(crate) fn hear_uses(&mut self, now: u64, uses: &Uses, from: SocketAddr) {
+  pub(crate) fn receive_uses(&mut self, now: u64, uses: &Uses, from: SocketAddr) {
     let holding = self.groups.first().is_some_and(|group| group.holds_lease);
     if !holding {
       return;
@@ -161,7 +166,7 @@
   }
 
   /// Takes up the holder's answer.
-  pub(crate) fn hear_grants(&mut self, answer: Grants) {
+  pub(crate) fn receive_grants(&mut self, answer: Grants) {
     let gate = &self.hub.gates.deployments;
     let asked = self.hub.instant(answer.sent);
     gate.vouch(
@@ -178,7 +183,7 @@
 
   /// What was used of quotas within their last windows, as this holder counted it; none: it is
   /// not due to be published. That nothing was used is published too: the next holder knows it.
-  pub(crate) fn sums(&mut self, now: u64) -> Option<Sums> {
+  pub(crate) fn due_sums(&mut self, now: u64) -> Option<Sums> {
     if now < self.next_sums_publish_at {
       return None;
     }
@@ -230,10 +235,10 @@
       "customers" => sums.map(|(_, sums)| sums.len()),
       "age_ms" => sums.map(|(heard, _)| now.saturating_sub(heard)));
     let allowances = self.allowances();
-    self.accounts = Accounts::open(now, sums, |id| allowances.get(id));
+    self.accounts = Accounts::new(now, sums, |id| allowances.get(id));
   }
 
-  fn book(&self) -> Option<Arc<Book>> {
+  fn book(&self) -> Option<Arc<Directory>> {
     let state = self.hub.state();
     state.deployment.as_ref()?.customers.clone()
   }
@@ -248,7 +253,7 @@
     }
   }
 
-  fn note_standings(&mut self, now: u64, book: &Book) {
+  fn note_standings(&mut self, now: u64, book: &Directory) {
     if now < self.next_standings_write_at {
       return;
     }
@@ -258,7 +263,7 @@
     let standings: Vec<Standing> = customers
       .map(|customer| Standing {
         name: customer.name.clone(),
-        over_fleet: accounts.standing(now, Id::of(&customer.name)),
+        over_fleet: accounts.standing(now, Id::for_customer(&customer.name)),
         quota: customer.quota,
       })
       .collect();
--- a/src/reduce.rs
+++ b/src/reduce.rs
@@ -56,9 +56,9 @@
       outcome,
     } => state.on_order_ended(replica, step, outcome),
     Event::Reported(status) => state.on_reported(status),
-    Event::ConfigurationRead(objects) => state.on_watched(objects),
+    Event::ConfigurationRead(objects) => state.on_configuration_read(objects),
     Event::BatchesListed(listed) => state.on_batches_listed(listed),
-    Event::InstancesListed { revision, entries } => state.on_listed(revision, entries),
+    Event::InstancesListed { revision, entries } => state.on_instances_listed(revision, entries),
     Event::Exchange { call, delta } => state.on_exchange(call, &delta),
     Event::Exchanged { peer, delta } => state.on_exchanged(&peer, delta.as_ref()),
     Event::Notified { from, items } => state.on_notified(&from, items),
@@ -108,7 +108,7 @@
 }
 
 fn run_housekeeping(state: &mut State) {
-  state.note_updates();
+  state.log_updates();
   state.choose_watchers();
   state.refresh_owned();
   state.poll_servers();
--- a/src/statement/exchange.rs
+++ b/src/statement/exchange.rs
@@ -66,7 +66,7 @@
     let mut statements = self.statements_of(now, &due);
     let state = self.hub.state();
     let needed = uses.iter().filter(|one| one.need > 0);
-    for statement in needed.filter_map(|one| state.limits.statement_of(one.id, now)) {
+    for statement in needed.filter_map(|one| state.limits.statement_by_id(one.id, now)) {
       if !statements.iter().any(|one| one.server == statement.server) {
         statements.push(statement);
       }
@@ -103,7 +103,12 @@
   pub fn statements(&self, now: u64) -> Vec<Statement> {
     let leaving = self.leaving.servers();
     let leaving = leaving.filter_map(|server| self.leaving.statement(server, now));
-    self.limits.all(now).into_iter().chain(leaving).collect()
+    self
+      .limits
+      .statements(now)
+      .into_iter()
+      .chain(leaving)
+      .collect()
   }
 
   /// Servers of which something is known that was not when this was last asked, and whether this
@@ -119,7 +124,7 @@
     for statement in statements {
       let at = self.now.saturating_sub(statement.age_ms.into());
       match statement.content {
-        Content::Limit(rate) => self.hear_limit(statement.server, rate, at),
+        Content::Limit(rate) => self.receive_limit(statement.server, rate, at),
         Content::Leaving => self.hear_leaving(statement.server, at, false),
       }
     }
--- a/src/statement/rest.rs
+++ b/src/statement/rest.rs
@@ -163,7 +163,7 @@
       return None;
     }
     let ends = self
-      .servers_of(request)
+      .eligible_servers(request)
       .map(|backend| self.backoffs.closed_until(backend.spec.life(), self.now));
     let ends: Option<Vec<u64>> = ends.collect();
     let end = ends?.into_iter().min()?;
--- a/tests/copies.rs
+++ b/tests/copies.rs
@@ -247,7 +247,7 @@
   fleet.run(BACK_MS + 50);
   assert_eq!(fleet.sends.len(), 1);
   let sums = fleet.accounts.sums(fleet.now, permit::allowance);
-  fleet.accounts = Accounts::open(fleet.now, Some((fleet.now, &sums)), permit::allowance);
+  fleet.accounts = Accounts::new(fleet.now, Some((fleet.now, &sums)), permit::allowance);
   fleet.run(BACK_MS + 3_000);
   assert_eq!(fleet.sends.len(), 1, "{:?}", fleet.sends);
 }
--- a/tests/customers.rs
+++ b/tests/customers.rs
@@ -3,9 +3,9 @@
 mod fleet_quota;
 
 use bendsaddle::{
-  customer::{Book, Caller, Customer, Digest, Lack, Turns, Unit, caller},
+  customer::{Caller, Customer, Digest, Directory, Rejection, Scheduler, Unit, authenticate},
   http::Headers,
-  quota::{Allowance, Grant, Id, Purse, Quota, Spending, Window},
+  quota::{Allowance, Balances, Decision, Grant, Id, Quota, Window},
 };
 use fleet_quota::{Story, Way, play};
 use quickcheck::quickcheck;
@@ -16,7 +16,7 @@
     name: name.into(),
     keys: keys.iter().map(|key| Digest::of(key.as_bytes())).collect(),
     priority: None,
-    unit: Unit::Tokens { plain: 200 },
+    unit: Unit::Tokens { default_cost: 200 },
     quota: None,
   }
 }
@@ -30,13 +30,13 @@
   )
 }
 
-fn found(lines: &[(&str, &str)]) -> Result<Caller, Lack> {
-  let book = Book::open(vec![
+fn found(lines: &[(&str, &str)]) -> Result<Caller, Rejection> {
+  let book = Directory::new(vec![
     customer("one", &["k1", "k2"]),
     customer("two", &["k3"]),
   ])
   .unwrap();
-  caller(&headers(lines), "usage", &book)
+  authenticate(&headers(lines), "usage", &book)
 }
 
 #[test]
@@ -47,7 +47,7 @@
     ("BEARER k3", "two"),
   ] {
     let caller = found(&[("Authorization", value)]).unwrap();
-    assert_eq!(caller.customer, Id::of(name), "{value}");
+    assert_eq!(caller.customer, Id::for_customer(name), "{value}");
     assert_eq!(caller.cost, 200);
   }
   let usage = [("authorization", "Bearer k1"), ("Usage", "1460,80")];
@@ -57,16 +57,16 @@
 #[test]
 fn what_is_no_known_key_names_nobody() {
   for value in ["", "Bearer", "Bearer ", "Basic k1", "k1", "Bearerk1"] {
-    assert_eq!(found(&[("Authorization", value)]), Err(Lack::Wanting));
+    assert_eq!(found(&[("Authorization", value)]), Err(Rejection::Missing));
   }
   let other = found(&[("Authorization", "Bearer K1")]);
-  assert_eq!(other, Err(Lack::Unknown));
+  assert_eq!(other, Err(Rejection::Unknown));
   let twice = [
     ("Authorization", "Bearer k1"),
     ("authorization", "Bearer k1"),
   ];
-  assert_eq!(found(&twice), Err(Lack::Wanting));
-  assert_eq!(found(&[]), Err(Lack::Wanting));
+  assert_eq!(found(&twice), Err(Rejection::Missing));
+  assert_eq!(found(&[]), Err(Rejection::Missing));
 }
 
 quickcheck! {
@@ -120,19 +120,19 @@
       "burst: `NaN` of customer `q` is not a quota",
     ),
   ] {
-    assert_eq!(Book::open(customers), Err(fault.to_string()));
+    assert_eq!(Directory::new(customers), Err(fault.to_string()));
   }
   let fine = vec![
     customer("one", &["k", "k"]),
     customer("two", &[]),
     quota(0.0, 0.0),
   ];
-  assert!(Book::open(fine).is_ok());
+  assert!(Directory::new(fine).is_ok());
 }
 
 #[test]
 fn a_window_forgets_what_is_older_and_no_sooner() {
-  let mut window = Window::open(8_000);
+  let mut window = Window::new(8_000);
   window.add(1_000, 5.0);
   window.add(2_000, 7.0);
   assert_eq!(window.sum(8_900), 12.0);
@@ -147,14 +147,14 @@
 
 #[test]
 fn what_was_surely_not_run_is_given_back() {
-  let mut purse = Purse::open(1);
-  let id = Id::of("one");
+  let mut purse = Balances::new(1);
+  let id = Id::for_customer("one");
   let grant = Grant {
     id,
     limit: 500,
     over_ms: 0,
   };
-  purse.grant(1_010, 1_010, &[grant]);
+  purse.receive_grants(1_010, 1_010, &[grant]);
   let allowance = Allowance {
     quota: Quota {
       rate: 100.0,
@@ -162,20 +162,20 @@
     },
     bound: fleet_quota::BOUND,
   };
-  let spend = |purse: &mut Purse, now| purse.spend(now, (id, &allowance), 400, Some(0), 100);
-  assert_eq!(spend(&mut purse, 1_020), Spending::Spent);
-  assert!(matches!(spend(&mut purse, 1_030), Spending::Over(_)));
-  purse.give_back(id, 400);
-  assert_eq!(spend(&mut purse, 1_050), Spending::Spent);
+  let spend = |purse: &mut Balances, now| purse.acquire(now, (id, &allowance), 400, Some(0), 100);
+  assert_eq!(spend(&mut purse, 1_020), Decision::Granted);
+  assert!(matches!(spend(&mut purse, 1_030), Decision::Exceeded(_)));
+  purse.refund(id, 400);
+  assert_eq!(spend(&mut purse, 1_050), Decision::Granted);
   assert_eq!(purse.standing(1_050, id), (400, 100));
   // Its grant is over.
-  purse.give_back(id, 400);
-  assert_ne!(spend(&mut purse, 3_060), Spending::Spent);
+  purse.refund(id, 400);
+  assert_ne!(spend(&mut purse, 3_060), Decision::Granted);
 }
 
 #[test]
 fn one_large_customer_and_fifteen_small_ones_take_turns() {
-  let mut turns = Turns::default();
+  let mut turns = Scheduler::default();
   let large = Id(0);
   let mut waiting: Vec<(u64, Id)> = (0..300).map(|_| (turns.tag(large, 1_000), large)).collect();
   for small in 1..=15 {
@@ -185,7 +185,7 @@
   let last = waiting.iter().rposition(|(_, who)| *who != large).unwrap();
   assert!(last < 16, "a small one waits for {last} others");
   // A customer that comes later begins where the others are, and is owed nothing for before.
-  turns.went(50_000);
+  turns.record_dispatch(50_000);
   assert_eq!(turns.tag(Id(99), 1_000), 50_000);
 }
 
--- a/tests/fleet_limit/mod.rs
+++ b/tests/fleet_limit/mod.rs
@@ -319,7 +319,7 @@
     if self.holder_at == now && now > 0 {
       let state = &self.instances[self.holder].state;
       let sums = (!self.sums.1.is_empty()).then_some((self.sums.0, &self.sums.1));
-      self.accounts = Accounts::open(now, sums, |id| state.limits().allow(id));
+      self.accounts = Accounts::new(now, sums, |id| state.limits().allowance(id));
     }
   }
 
@@ -423,7 +423,7 @@
     }
     self.apply(now, self.holder, Event::Statements(limits));
     let state = &self.instances[self.holder].state;
-    let allow = |id| state.limits().allow(id);
+    let allow = |id| state.limits().allowance(id);
     let grants = self.accounts.report(now, process, uses, allow);
     self.datagram(now, index, Mail::Grants(index, process, sent, grants));
   }
@@ -499,7 +499,7 @@
     }
     if now.is_multiple_of(SUMS_MS) {
       let state = &self.instances[holder].state;
-      let allow = |id| state.limits().allow(id);
+      let allow = |id| state.limits().allowance(id);
       self.sums = (now, self.accounts.sums(now, allow));
       if !self.sums.1.is_empty() {
         let sums = self.sums.1.clone();
@@ -508,7 +508,7 @@
       }
     }
     let limits = match now.is_multiple_of(LISTS_MS) {
-      true => self.instances[holder].state.limits().all(now),
+      true => self.instances[holder].state.limits().statements(now),
       false => self.due(now, holder),
     };
     if !limits.is_empty() {
@@ -543,7 +543,7 @@
     if !due && !said {
       return;
     }
-    let ask_at = instance.state.quotas().ask_at();
+    let ask_at = instance.state.quotas().next_request_at();
     let uses = instance.state.uses(now);
     let needed = uses.iter().any(|one| one.need > 0);
     if needed && now < ask_at && !said {
@@ -552,7 +552,7 @@
     }
     let pause = (self.story.instances as u64 * 3).clamp(500, 1_000);
     instance.report_at = match needed {
-      true => instance.state.quotas().ask_at().max(now + 1),
+      true => instance.state.quotas().next_request_at().max(now + 1),
       false => now + pause,
     };
     let process = instance.process;
@@ -561,14 +561,14 @@
         return;
       }
       let state = &self.instances[index].state;
-      let allow = |id| state.limits().allow(id);
+      let allow = |id| state.limits().allowance(id);
       let grants = self.accounts.report(now, process, &uses, allow);
       return self.apply(now, index, Event::Granted { sent: now, grants });
     }
     let mut limits = self.due(now, index);
     let state = &self.instances[index].state;
     let needed = uses.iter().filter(|one| one.need > 0);
-    limits.extend(needed.filter_map(|one| state.limits().statement_of(one.id, now)));
+    limits.extend(needed.filter_map(|one| state.limits().statement_by_id(one.id, now)));
     let mail = Mail::Uses(index, process, now, uses, limits);
     self.datagram(now, index, mail);
   }
--- a/tests/fleet_quota/mod.rs
+++ b/tests/fleet_quota/mod.rs
@@ -1,8 +1,8 @@
 //! A fleet of instances that keep customers' quotas together, played in virtual time.
 
 use bendsaddle::{
-  customer::{Book, Customer, Digest, Unit},
-  quota::{Accounts, Allowance, Bound, Grant, Id, Purse, Quota, Spending, Sums, Use},
+  customer::{Customer, Digest, Directory, Unit},
+  quota::{Accounts, Allowance, Balances, Bound, Decision, Grant, Id, Quota, Sums, Use},
 };
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use std::collections::HashMap;
@@ -68,7 +68,7 @@
 }
 
 struct Instance {
-  purse: Purse,
+  purse: Balances,
   process: u64,
   /// Requests that wait: customer, cost, since.
   waiting: Vec<(usize, u32, u64)>,
@@ -79,7 +79,7 @@
   story: &'a Story,
   way: Way,
   rng: SmallRng,
-  book: Book,
+  book: Directory,
   customers: Vec<(Id, Quota)>,
   instances: Vec<Instance>,
   accounts: Accounts,
@@ -103,13 +103,13 @@
     name: name.into(),
     keys: vec![Digest::of(name.as_bytes())],
     priority: None,
-    unit: Unit::Tokens { plain: 200 },
+    unit: Unit::Tokens { default_cost: 200 },
     quota: Some(quota),
   };
   (customer, quota)
 }
 
-fn allowance(book: &Book, id: Id) -> Option<Allowance> {
+fn allowance(book: &Directory, id: Id) -> Option<Allowance> {
   let quota = book.get(id)?.quota?;
   Some(Allowance {
     quota,
@@ -127,13 +127,13 @@
     .collect();
   let ids = all
     .iter()
-    .map(|(customer, quota)| (Id::of(&customer.name), *quota));
+    .map(|(customer, quota)| (Id::for_customer(&customer.name), *quota));
   let customers = ids.collect();
   let instances = (0..story.instances).map(|_| instance(&mut rng)).collect();
   let mut fleet = Fleet {
     story,
     way,
-    book: Book::open(all.into_iter().map(|(customer, _)| customer).collect()).unwrap(),
+    book: Directory::new(all.into_iter().map(|(customer, _)| customer).collect()).unwrap(),
     customers,
     instances,
     accounts: Accounts::default(),
@@ -153,7 +153,7 @@
 
 fn instance(rng: &mut SmallRng) -> Instance {
   Instance {
-    purse: Purse::open(rng.random()),
+    purse: Balances::new(rng.random()),
     process: rng.random(),
     waiting: Vec::new(),
     report_at: rng.random_range(0..REPORT_MS),
@@ -171,7 +171,7 @@
       for index in 0..self.instances.len() {
         let deaf = within(self.story.cut, index, now) || within(self.story.frozen, index, now);
         if self.way != Way::Equal && !deaf {
-          self.instances[index].purse.hear(now, &self.sums.1);
+          self.instances[index].purse.receive_sums(now, &self.sums.1);
         }
       }
     }
@@ -198,7 +198,7 @@
       self.instances[index] = instance(&mut self.rng);
       if self.way != Way::Equal {
         // It reads the lease's record when it starts.
-        self.instances[index].purse.hear(now, &self.sums.1);
+        self.instances[index].purse.receive_sums(now, &self.sums.1);
       }
     }
     if holder {
@@ -209,7 +209,7 @@
   fn deliver(&mut self, now: u64) {
     if self.holder_at == now {
       let sums = Some((self.sums.0, &self.sums.1));
-      self.accounts = Accounts::open(now, sums, |id| allowance(&self.book, id));
+      self.accounts = Accounts::new(now, sums, |id| allowance(&self.book, id));
     }
     let due: Vec<Mail> = {
       let (due, later) = std::mem::take(&mut self.mail)
@@ -236,7 +236,9 @@
               .mail
               .push((until, Mail::Grants(index, process, sent, grants)));
           } else if self.instances[index].process == process {
-            self.instances[index].purse.grant(now, sent, &grants);
+            self.instances[index]
+              .purse
+              .receive_grants(now, sent, &grants);
           }
         }
       }
@@ -302,14 +304,14 @@
     };
     match instance
       .purse
-      .spend(now, (id, &allowance), cost, asked, count)
+      .acquire(now, (id, &allowance), cost, asked, count)
     {
-      Spending::Spent => self.ran[customer].push((since, cost)),
-      Spending::Ask(_) => {
+      Decision::Granted => self.ran[customer].push((since, cost)),
+      Decision::Pending(_) => {
         instance.waiting.push(request);
         instance.report_at = instance.report_at.min(now);
       }
-      Spending::Over(_) => self.refuse(customer, since, cost),
+      Decision::Exceeded(_) => self.refuse(customer, since, cost),
     }
   }
 
@@ -336,13 +338,13 @@
     for (customer, cost, _) in &instance.waiting {
       *needs.entry(self.customers[*customer].0).or_default() += cost;
     }
-    if !needs.is_empty() && now < instance.purse.ask_at() {
+    if !needs.is_empty() && now < instance.purse.next_request_at() {
       return;
     }
     let uses = instance.purse.uses(now, &needs);
     instance.report_at = now + REPORT_MS;
     if !needs.is_empty() {
-      instance.report_at = instance.purse.ask_at();
+      instance.report_at = instance.purse.next_request_at();
     }
     let process = instance.process;
     self.post(now, index, Mail::Uses(index, process, now, uses));
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -269,12 +269,12 @@
 fn a_later_word_counts_and_an_answer_from_before_ends_nothing() {
   let server = Life::of("s", 1);
   let mut limits = Limits::default();
-  assert!(limits.hear(server, Some(2.0), 100, true));
+  assert!(limits.update(server, Some(2.0), 100, true));
   // Its request was sent before the limit was named.
-  assert!(!limits.hear(server, None, 100, true));
-  assert!(!limits.hear(server, Some(3.0), 90, false));
+  assert!(!limits.update(server, None, 100, true));
+  assert!(!limits.update(server, Some(3.0), 90, false));
   assert_eq!(limits.rate(server), Some(2.0));
-  assert!(limits.hear(server, None, 101, true));
+  assert!(limits.update(server, None, 101, true));
   assert_eq!(limits.rate(server), None);
   assert_eq!(
     limits.rate(Life::of("s", 2)),
@@ -394,7 +394,7 @@
   let uses = state.uses(20);
   let needed: Vec<u32> = uses.iter().map(|one| one.need).collect();
   assert!(needed.contains(&1), "{needed:?}");
-  let two = bendsaddle::quota::Id::of_life(Life::of("two", 0));
+  let two = bendsaddle::quota::Id::for_server(Life::of("two", 0));
   let grant = bendsaddle::quota::Grant {
     id: two,
     limit: 1,
