--- a/src/customer/mod.rs
+++ b/src/customer/mod.rs
@@ -6,11 +6,11 @@
 
 mod credential;
 mod digest;
-mod turn;
+mod scheduler;
 
 pub use credential::{Rejection, authenticate};
 pub use digest::Digest;
-pub use turn::Scheduler;
+pub use scheduler::Scheduler;
 
 use crate::quota::{self, Id, Quota};
 use std::collections::{BTreeSet, HashMap};
--- a/src/limit/mod.rs
+++ b/src/limit/mod.rs
@@ -11,9 +11,9 @@
 //! its request was sent after the limit was last heard of. Instances report what changes to the
 //! holder of the lease, which publishes it to all.
 
-mod room;
+mod selection;
 
-pub(crate) use room::Choice;
+pub(crate) use selection::Choice;
 
 use crate::{
   life::Life,
