--- a/src/customer/credential.rs
+++ b/src/customer/credential.rs
@@ -1,24 +1,24 @@
-//! Reads who sends a request from its head.
+//! Authenticates requests by the API key in their headers.
 
 use super::{Caller, Digest, Directory, Unit};
 use crate::http::Headers;
 use crate::quota::Id;
 
-/// The header that carries a key.
+/// Header that carries the key.
 const AUTHORIZATION: &str = "authorization";
-/// The scheme of that header.
+/// Authentication scheme in that header.
 const SCHEME: &str = "bearer ";
 
-/// Why a request has no customer.
+/// Reason why a request could not be authenticated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rejection {
-  /// It names no key, or more than one.
+  /// The request has no well-formed key, or more than one `authorization` header.
   Missing,
   Unknown,
 }
 
 impl Rejection {
-  /// The word used in logs and answers.
+  /// Text used in logs and responses.
   pub fn as_str(self) -> &'static str {
     match self {
       Self::Missing => "no key",
@@ -27,42 +27,49 @@
   }
 }
 
-/// Who sends a request; `usage` names the header that tells its tokens.
-pub fn authenticate(headers: &Headers, usage: &str, book: &Directory) -> Result<Caller, Rejection> {
+/// Identifies the caller of a request by its key; `usage_header` is the header that states the
+/// request's token counts.
+///
+/// # Errors
+///
+/// The key is missing, ambiguous or unknown.
+pub fn authenticate(
+  headers: &Headers,
+  usage_header: &str,
+  directory: &Directory,
+) -> Result<Caller, Rejection> {
   let key = key(headers).ok_or(Rejection::Missing)?;
-  let customer = book.key_owner(key).ok_or(Rejection::Unknown)?;
+  let customer = directory.key_owner(key).ok_or(Rejection::Unknown)?;
   Ok(Caller {
     customer: Id::for_customer(&customer.name),
     key,
     priority: customer.priority,
-    cost: cost(headers.get(usage), customer.unit),
+    cost: cost(headers.get(usage_header), customer.unit),
   })
 }
 
 fn key(headers: &Headers) -> Option<Digest> {
   let mut values = headers.get_all(AUTHORIZATION);
   let value = values.next()?;
-  // Of two keys it would be anybody's guess which one counts.
+  // With two keys it is ambiguous which one applies.
   if values.next().is_some() {
     return None;
   }
   let (scheme, key) = value.split_at_checked(SCHEME.len())?;
   let key = key.trim_ascii();
-  let named = scheme.eq_ignore_ascii_case(SCHEME.as_bytes()) && !key.is_empty();
-  named.then(|| Digest::of(key))
+  let is_valid = scheme.eq_ignore_ascii_case(SCHEME.as_bytes()) && !key.is_empty();
+  is_valid.then(|| Digest::of(key))
 }
 
-/// Units that a request counts.
+/// Units that a request costs.
 fn cost(usage: Option<&str>, unit: Unit) -> u32 {
   match unit {
     Unit::Requests => 1,
-    Unit::Tokens {
-      default_cost: plain,
-    } => usage.and_then(tokens).unwrap_or(plain),
+    Unit::Tokens { default_cost } => usage.and_then(tokens).unwrap_or(default_cost),
   }
 }
 
-/// Tokens in and out, as `IN,OUT`.
+/// Parses `IN,OUT` and returns the sum of input and output tokens.
 fn tokens(usage: &str) -> Option<u32> {
   let (tokens_in, tokens_out) = usage.split_once(',')?;
   let number = |text: &str| text.trim().parse::<u32>().ok();
--- a/src/customer/digest.rs
+++ b/src/customer/digest.rs
@@ -1,9 +1,9 @@
-//! Digests of keys: what instances keep and compare in place of the keys.
+//! Digests of API keys, which instances store and compare instead of the keys.
 
 use sha2::{Digest as _, Sha256};
 use std::fmt::{self, Debug, Formatter};
 
-/// Bytes of a digest.
+/// Length of a digest.
 const BYTES: usize = 32;
 
 /// SHA-256 of a key.
@@ -11,12 +11,12 @@
 pub struct Digest([u8; BYTES]);
 
 impl Digest {
-  /// The digest of a key.
+  /// Computes the digest of a key.
   pub fn of(key: &[u8]) -> Self {
     Self(Sha256::digest(key).into())
   }
 
-  /// The digest written as hexadecimal digits; none: it is not one.
+  /// Parses a digest from hexadecimal digits; `None` if the text is not a digest.
   pub fn parse(text: &str) -> Option<Self> {
     let digits = text.as_bytes();
     if digits.len() != 2 * BYTES || !digits.iter().all(u8::is_ascii_hexdigit) {
@@ -30,14 +30,14 @@
     Some(Self(bytes))
   }
 
-  /// The digest as hexadecimal digits.
+  /// Formats the digest as hexadecimal digits.
   pub fn hex(&self) -> String {
     self.0.iter().map(|byte| format!("{byte:02x}")).collect()
   }
 }
 
 impl Debug for Digest {
-  /// A digest of a short key could be guessed from, so logs show none.
+  /// Omits the digest from logs, because a short key could be guessed from it.
   fn fmt(&self, f: &mut Formatter) -> fmt::Result {
     f.write_str("Digest(..)")
   }
--- a/src/customer/mod.rs
+++ b/src/customer/mod.rs
@@ -1,8 +1,8 @@
-//! Customers: who may call, with which keys, and how much of the fleet they may use.
+//! Customers, their API keys, and their quotas over the fleet.
 //!
-//! Load pattern: a few large customers and many small ones, each at any instance; one of them
-//! asks for many times its usual at once, and keys are taken away while requests wait. Pure:
-//! no I/O, no clock. A key is known by its digest alone; nothing here could show one.
+//! Load pattern: a few large customers and many small ones, each of which calls any instance. One
+//! of them suddenly sends many times its usual load, and keys are revoked while requests wait.
+//! Pure: no I/O, no clock. Only digests of keys are stored, so that no key can be disclosed.
 
 mod credential;
 mod digest;
@@ -15,13 +15,14 @@
 use crate::quota::{self, Id, Quota};
 use std::collections::{BTreeSet, HashMap};
 
-/// What a quota counts.
+/// Unit that a quota counts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Unit {
-  /// Each request is one.
+  /// Each request costs one unit.
   #[default]
   Requests,
-  /// Tokens of the prompt and the most that come out; this many where a request names none.
+  /// Prompt tokens plus the maximum number of output tokens; a request that does not state them
+  /// costs `default_cost`.
   Tokens { default_cost: u32 },
 }
 
@@ -30,10 +31,10 @@
 pub struct Customer {
   pub name: String,
   pub keys: Vec<Digest>,
-  /// Takes the place of the route's; 0 is the most urgent.
+  /// Overrides the route's priority; 0 is the most urgent.
   pub priority: Option<u8>,
   pub unit: Unit,
-  /// None: no limit.
+  /// `None` if the customer has no limit.
   pub quota: Option<Quota>,
 }
 
@@ -46,36 +47,44 @@
 }
 
 impl Directory {
-  /// The customers, checked; an error names field and value, and no key.
+  /// Validates the customers and indexes them.
+  ///
+  /// # Errors
+  ///
+  /// Names the field and value that are invalid, but never a key.
   pub fn new(customers: Vec<Customer>) -> Result<Self, String> {
-    let mut book = Self::default();
+    let mut directory = Self::default();
     for (index, customer) in customers.iter().enumerate() {
       let name = &customer.name;
-      if let Some(fault) = customer.fault() {
-        return Err(fault);
+      if let Some(error) = customer.validation_error() {
+        return Err(error);
       }
-      if book.by_id.insert(Id::for_customer(name), index).is_some() {
+      if directory
+        .by_id
+        .insert(Id::for_customer(name), index)
+        .is_some()
+      {
         return Err(format!("customer: `{name}` is there twice"));
       }
-      // Twice in one customer is one key.
+      // A key that is listed twice for the same customer counts once.
       let keys: BTreeSet<Digest> = customer.keys.iter().copied().collect();
       for key in keys {
-        if let Some(other) = book.by_key.insert(key, index) {
+        if let Some(other) = directory.by_key.insert(key, index) {
           let other = &customers[other].name;
           return Err(format!("keys: customers `{other}` and `{name}` share one"));
         }
       }
     }
-    book.customers = customers;
-    Ok(book)
+    directory.customers = customers;
+    Ok(directory)
   }
 
-  /// A customer by id.
+  /// Looks up a customer by id.
   pub fn get(&self, id: Id) -> Option<&Customer> {
     self.by_id.get(&id).map(|index| &self.customers[*index])
   }
 
-  /// The customer that holds a key.
+  /// Looks up the customer to which a key belongs.
   pub fn key_owner(&self, key: Digest) -> Option<&Customer> {
     self.by_key.get(&key).map(|index| &self.customers[*index])
   }
@@ -85,28 +94,28 @@
     &self.customers
   }
 
-  /// Whether a caller's key still belongs to its customer.
+  /// Returns whether a caller's key still belongs to its customer.
   pub fn is_key_valid(&self, caller: &Caller) -> bool {
-    let holder = self.key_owner(caller.key);
-    holder.is_some_and(|customer| Id::for_customer(&customer.name) == caller.customer)
+    let owner = self.key_owner(caller.key);
+    owner.is_some_and(|customer| Id::for_customer(&customer.name) == caller.customer)
   }
 }
 
 impl Customer {
-  fn fault(&self) -> Option<String> {
+  fn validation_error(&self) -> Option<String> {
     if self.name.is_empty() {
       return Some("customer: `` has no name".into());
     }
-    // It goes into a header as it is.
+    // The name is sent in a header without escaping.
     if !self.name.bytes().all(|byte| byte.is_ascii_graphic()) {
       return Some(format!("customer: `{}` is not plain ASCII", self.name));
     }
     let quota = self.quota?;
     let fields = [("rate", quota.rate), ("burst", quota.burst)];
-    let faulty = fields
+    let invalid = fields
       .into_iter()
       .find(|(_, value)| !value.is_finite() || *value < 0.0);
-    faulty.map(|(field, value)| {
+    invalid.map(|(field, value)| {
       format!(
         "{field}: `{value}` of customer `{}` is not a quota",
         self.name
@@ -115,17 +124,17 @@
   }
 }
 
-/// Who sent a request, and what it counts.
+/// Sender of a request, and the request's cost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Caller {
   pub customer: Id,
   pub key: Digest,
   pub priority: Option<u8>,
-  /// Units of its customer's quota.
+  /// In units of the customer's quota.
   pub cost: u32,
 }
 
-/// A customer's standing over the fleet.
+/// A customer's quota and its usage over the fleet.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Standing {
   pub name: String,
