--- a/src/limit/mod.rs
+++ b/src/limit/mod.rs
@@ -1,15 +1,16 @@
-//! Limits of backend servers in need: the requests a second that one takes from all instances
-//! together, as its answers name it.
+//! Rate limits that overloaded backend servers announce in their responses: the requests per
+//! second that a server accepts from all instances together.
 //!
-//! Load pattern: a server that usually gets requests of many instances asks for one or two a
-//! second, which is less than one of each. So no instance goes by the limit alone: each request
-//! for such a server takes a unit of a quota that all instances share (`quota`), also one that is
-//! repeated or goes on elsewhere. What has no unit goes to another server, or to one that loads
-//! its model; where that takes longer than its caller waits, it is refused at once.
+//! Load pattern: a server that usually gets requests from many instances limits them to one or two
+//! per second, which is less than one per instance. So no instance enforces the limit on its own:
+//! each request to such a server, including retries and continued requests, acquires a unit of a
+//! quota that all instances share (`quota`). A request without a unit goes to another server, or to
+//! one that loads its model; if that takes longer than the caller waits, the request is refused
+//! immediately.
 //!
-//! An answer that names a limit counts from its arrival; one that names none ends the limit when
-//! its request was sent after the limit was last heard of. Instances report what changes to the
-//! holder of the lease, which publishes it to all.
+//! A limit takes effect when the response that states it arrives. A response that states none
+//! removes the limit if its request was sent after the limit was last reported. Instances report
+//! changes to the lease holder, which publishes them to all instances.
 
 mod selection;
 
@@ -22,54 +23,58 @@
 };
 use std::collections::BTreeMap;
 
-/// Window in which a limit is kept, ms: whole requests fit into it also where one a second is
-/// taken, and users' rules count in windows of four seconds. Nothing is used beyond it, so what
-/// they tolerate is left for instances that hear late or take over.
+/// Bound on a server's limit. Whole requests fit into the window even if a server accepts one per
+/// second, and users' rules count in windows of four seconds. There is no overage, so that what the
+/// rules tolerate remains for instances that learn of a limit late or take over the lease.
 const BOUND: Bound = Bound {
   window_ms: 4_000,
   overage: 0.0,
   slack: 0.0,
 };
-/// A server that takes less than this, requests a second, gets one request in a window: one that
-/// gets nothing answers nothing, and could never say that it needs no help any more.
-const LEAST: f64 = 0.25;
-/// That a limit has ended is published for so long, ms: some rounds of the list that instances
-/// get which start.
-const ENDED_MS: u64 = 10_000;
-
-/// What one server last said.
+/// Lowest enforced limit, which is one request per window. A server without any requests sends no
+/// responses, and could never state that its limit has ended.
+const MIN_REQUESTS_PER_S: f64 = 0.25;
+/// How long the end of a limit is published: several rounds of the list that starting instances
+/// receive.
+const ENDED_PUBLISH_MS: u64 = 10_000;
+
+/// The latest limit of one server.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Limit {
+  /// Requests per second; `None` if the limit has ended.
   rate: Option<f64>,
-  /// When, ms: of a limit its arrival, of its end when the request was sent that showed it.
+  /// Time in ms: when the limit arrived, or when the request was sent whose response showed that
+  /// the limit has ended.
   at: u64,
 }
 
-/// What servers in need said, by their lives: a server that starts again has said nothing.
+/// Limits by server life: a server that restarts has no limit.
 #[derive(Clone, Debug, Default)]
 pub struct Limits {
-  said: BTreeMap<Life, Limit>,
-  /// Servers by the names of their quotas.
+  latest: BTreeMap<Life, Limit>,
+  /// Servers by the ids of their quotas.
   ids: BTreeMap<Id, Life>,
-  /// Changes that the planner has not taken, and whether this instance heard them of the server.
+  /// Changes that the planner has not taken yet, and whether this instance got them from the
+  /// server itself.
   changed: Vec<(Life, bool)>,
 }
 
-/// The limit that an answer names, requests a second.
+/// Parses the limit that a response states, in requests per second.
 ///
 /// # Errors
 ///
-/// What does not name a rate.
+/// The text is not a finite, non-negative number.
 pub fn parse(text: &str) -> Result<f64, String> {
   let rate = text.trim().parse::<f64>().ok();
   let rate = rate.filter(|rate| rate.is_finite() && *rate >= 0.0);
   rate.ok_or_else(|| format!("limit: `{}` is not a rate", text.escape_debug()))
 }
 
-/// What all instances together may send to a server that takes so many requests a second.
+/// Returns the quota of all instances together for a server with this limit, in requests per
+/// second.
 pub fn allowance(rate: f64) -> Allowance {
   let quota = Quota {
-    rate: rate.max(LEAST),
+    rate: rate.max(MIN_REQUESTS_PER_S),
     burst: 0.0,
   };
   Allowance {
@@ -79,55 +84,55 @@
 }
 
 impl Limits {
-  /// Requests a second that a server takes; none: it named no limit.
+  /// A server's limit in requests per second; `None` if it has none.
   pub fn rate(&self, server: Life) -> Option<f64> {
-    self.said.get(&server)?.rate
+    self.latest.get(&server)?.rate
   }
 
-  /// Whether some server named a limit.
+  /// Returns whether any server has a limit.
   pub fn any(&self) -> bool {
-    self.said.values().any(|limit| limit.rate.is_some())
+    self.latest.values().any(|limit| limit.rate.is_some())
   }
 
-  /// What may be sent to a server, by the name of its quota.
+  /// Looks up the allowance of a server by the id of its quota.
   pub fn allowance(&self, id: Id) -> Option<Allowance> {
     let server = self.ids.get(&id)?;
     self.rate(*server).map(allowance)
   }
 
-  /// Servers that named limits, and those whose limits ended lately.
+  /// Statements of current limits and of those that ended recently.
   pub fn statements(&self, now: u64) -> Vec<Statement> {
-    let said = self.said.iter();
-    let fresh = |limit: &Limit| limit.rate.is_some() || now < limit.at + ENDED_MS;
-    said
-      .filter(|(_, limit)| fresh(limit))
+    let latest = self.latest.iter();
+    let is_published = |limit: &Limit| limit.rate.is_some() || now < limit.at + ENDED_PUBLISH_MS;
+    latest
+      .filter(|(_, limit)| is_published(limit))
       .map(|(server, limit)| limit.statement(*server, now))
       .collect()
   }
 
-  /// What a server last said.
+  /// Statement of a server's latest limit.
   pub fn statement(&self, server: Life, now: u64) -> Option<Statement> {
-    let limit = self.said.get(&server)?;
+    let limit = self.latest.get(&server)?;
     Some(limit.statement(server, now))
   }
 
-  /// The same by the name of its quota.
+  /// Statement of a server's latest limit, by the id of its quota.
   pub fn statement_by_id(&self, id: Id, now: u64) -> Option<Statement> {
     self.statement(*self.ids.get(&id)?, now)
   }
 
-  /// Servers that name limits.
+  /// Servers that have a limit.
   pub fn servers(&self) -> impl Iterator<Item = Life> {
-    let said = self.said.iter();
-    said
+    let latest = self.latest.iter();
+    latest
       .filter(|(_, limit)| limit.rate.is_some())
       .map(|(server, _)| *server)
   }
 
-  /// Takes up what a server said at a time, ms; whether that changes what is known. `own`: this
-  /// instance heard it of the server.
+  /// Records the limit that a server stated at time `at`, in ms, and returns whether the limit
+  /// changed. `own` means that this instance got it from the server itself.
   pub fn update(&mut self, server: Life, rate: Option<f64>, at: u64, own: bool) -> bool {
-    let known = self.said.get(&server).copied();
+    let known = self.latest.get(&server).copied();
     let known = known.unwrap_or(Limit { rate: None, at: 0 });
     let newer = match rate {
       Some(_) => at >= known.at,
@@ -136,7 +141,7 @@
     if !newer {
       return false;
     }
-    self.said.insert(server, Limit { rate, at });
+    self.latest.insert(server, Limit { rate, at });
     self.ids.insert(Id::for_server(server), server);
     let changed = known.rate != rate;
     if changed {
@@ -145,18 +150,19 @@
     changed
   }
 
-  /// Changes since this was last asked, and whether this instance heard them of the server.
+  /// Takes the changes since the last call, and whether this instance got them from the server
+  /// itself.
   pub fn take_changed(&mut self) -> Vec<(Life, bool)> {
     std::mem::take(&mut self.changed)
   }
 
-  /// Forgets what was said long ago by servers that are not there.
-  pub fn prune(&mut self, now: u64, there: impl Fn(Life) -> bool) {
+  /// Drops old limits of servers that no longer exist.
+  pub fn prune(&mut self, now: u64, exists: impl Fn(Life) -> bool) {
     self
-      .said
-      .retain(|server, limit| there(*server) || now < limit.at + KEPT_MS);
-    let said = &self.said;
-    self.ids.retain(|_, server| said.contains_key(server));
+      .latest
+      .retain(|server, limit| exists(*server) || now < limit.at + KEPT_MS);
+    let latest = &self.latest;
+    self.ids.retain(|_, server| latest.contains_key(server));
   }
 }
 
--- a/src/limit/selection.rs
+++ b/src/limit/selection.rs
@@ -1,4 +1,4 @@
-//! Which server a request goes to, where some are in need.
+//! Selects the server for a request, subject to the limits of servers.
 
 use super::allowance;
 use crate::{
@@ -13,113 +13,119 @@
   verdict::Verdict,
 };
 
-/// The server for a request's next send.
+/// Server for the next attempt of a request.
 pub(crate) enum Choice {
   Server(backend::Key),
-  /// A server's unit is asked for; it is looked at again at this time, ms.
+  /// A unit or permit is requested; to be checked again at this time, in ms.
   Pending(u64),
-  /// Those that could take it are in need and have no room; some after so long, ms.
+  /// All candidates are at their limits; the first has a free unit after this time, in ms.
   AtLimit(u64),
-  /// There is none.
+  /// There is no candidate.
   Unavailable,
 }
 
-/// What a server's limit leaves for a request.
-enum Room {
-  Free,
-  Ask(u64),
-  Full(u64),
+/// Result of acquiring a unit of a server's limit.
+enum Outcome {
+  Granted,
+  /// A unit is requested; to be checked again at this time, in ms.
+  Pending(u64),
+  /// The next unit is free after this time, in ms.
+  AtLimit(u64),
 }
 
 impl State {
-  /// Chooses the server for a request's next send; one that was in so many crashes parts from
-  /// others.
+  /// Chooses the server for the next attempt of a request. A suspect with this number of crashes
+  /// runs isolated from other suspects.
   pub(crate) fn choose_server(&mut self, ticket: Ticket, crashes: Option<u32>) -> Choice {
-    let mut found = self.candidates(ticket);
-    let mut full: Option<u64> = None;
-    while let Some(key) = self.pick_backend(ticket, &found, crashes) {
-      found.retain(|(other, _)| *other != key);
+    let mut candidates = self.candidates(ticket);
+    let mut soonest: Option<u64> = None;
+    while let Some(key) = self.pick_backend(ticket, &candidates, crashes) {
+      candidates.retain(|(other, _)| *other != key);
       let server = self.backends[key].spec.life();
       match self.acquire_server_permit(ticket, server, crashes.unwrap_or_default()) {
         Permit::Granted => {}
         Permit::Requested(until) => return Choice::Pending(until),
-        // Another suspect is there.
+        // Another suspect runs on this server.
         Permit::Taken => continue,
       }
-      match self.room(ticket, key, found.is_empty()) {
-        Room::Free => return Choice::Server(key),
-        Room::Ask(until) => return Choice::Pending(until),
-        Room::Full(after) => full = Some(full.map_or(after, |least| least.min(after))),
+      match self.acquire_limit_unit(ticket, key, candidates.is_empty()) {
+        Outcome::Granted => return Choice::Server(key),
+        Outcome::Pending(until) => return Choice::Pending(until),
+        Outcome::AtLimit(after) => soonest = Some(soonest.map_or(after, |least| least.min(after))),
       }
     }
-    full.map_or(Choice::Unavailable, Choice::AtLimit)
+    soonest.map_or(Choice::Unavailable, Choice::AtLimit)
   }
 
-  /// Takes a unit of a server in need for a request, where there is one; `last`: no other server
-  /// can take it.
-  fn room(&mut self, ticket: Ticket, key: backend::Key, last: bool) -> Room {
+  /// Acquires a unit for a request if the server has a limit. `is_last` means that no other
+  /// candidate is left.
+  fn acquire_limit_unit(&mut self, ticket: Ticket, key: backend::Key, is_last: bool) -> Outcome {
     let now = self.now;
     let server = self.backends[key].spec.life();
     let (Some(rate), Some(request)) = (self.limits.rate(server), self.requests.get_mut(&ticket))
     else {
-      return Room::Free;
+      return Outcome::Granted;
     };
     let id = Id::for_server(server);
-    let asked = request.pending_unit.filter(|(wanted, _)| *wanted == id);
-    let asked = asked.map(|(_, since)| since);
-    let patience = asked.unwrap_or(now) + GRANT_RETRY_MS;
-    if !last && now >= patience {
-      // Another one can take it now.
-      return Room::Full(GRANT_RETRY_MS);
+    let requested = request.pending_unit.filter(|(pending, _)| *pending == id);
+    let requested = requested.map(|(_, since)| since);
+    let grant_deadline = requested.unwrap_or(now) + GRANT_RETRY_MS;
+    if !is_last && now >= grant_deadline {
+      // Try the next candidate instead of waiting any longer.
+      return Outcome::AtLimit(GRANT_RETRY_MS);
     }
-    let own = (id, &allowance(rate));
-    match self.quotas.acquire(now, own, 1, asked, self.instances) {
+    let limit = (id, &allowance(rate));
+    match self
+      .quotas
+      .acquire(now, limit, 1, requested, self.instances)
+    {
       Decision::Granted => {
         request.limit_unit = Some(id);
         request.pending_unit = None;
-        Room::Free
+        Outcome::Granted
       }
       Decision::Pending(until) => {
-        if asked.is_none() {
+        if requested.is_none() {
           request.pending_unit = Some((id, now));
           self.out.push(Effect::RequestQuota);
         }
-        Room::Ask(if last { until } else { patience })
+        Outcome::Pending(if is_last { until } else { grant_deadline })
       }
       Decision::Exceeded(after) => {
         request.pending_unit = None;
-        Room::Full(after)
+        Outcome::AtLimit(after)
       }
     }
   }
 
-  /// A send has ended that surely did not reach its server: its unit is free again.
+  /// Ends the use of a limit unit by an attempt; refunds the unit if the attempt certainly did not
+  /// reach its server.
   pub(crate) fn release_limit_unit(&mut self, ticket: Ticket, reached: bool) {
     let request = self.requests.get_mut(&ticket);
-    let room = request.and_then(|request| request.limit_unit.take());
-    if let (Some(id), false) = (room, reached) {
+    let unit = request.and_then(|request| request.limit_unit.take());
+    if let (Some(id), false) = (unit, reached) {
       self.quotas.refund(id, 1);
     }
   }
 
-  /// Goes on with a request whose servers have no room, as their limits say: their model may be
-  /// loaded elsewhere in time; otherwise it is refused at once. One that has begun waits for room
-  /// as long as its caller does: nothing else could go on with it.
+  /// Handles a request whose candidates are all at their limits: it waits if its model will be
+  /// loaded elsewhere in time, and is refused immediately otherwise. A request that may already have
+  /// run waits for a unit until its caller's deadline, because no other server could continue it.
   pub(crate) fn wait_or_refuse(&mut self, ticket: Ticket, after: u64) {
     let Some(request) = self.requests.get(&ticket).cloned() else {
       return;
     };
-    let sound = self
+    let has_unlimited = self
       .eligible_servers(&request)
       .any(|backend| !self.has_limit(backend));
-    if sound || request.verdict != Verdict::NotRun {
+    if has_unlimited || request.verdict != Verdict::NotRun {
       return self.wait_for_server(ticket);
     }
     let after = after.max(1);
     match self.ready_elsewhere(&request) {
       Some(ready) if ready <= give_up_at(&request) => self.wait_for_server(ticket),
       Some(_) => {
-        // The next one finds it loaded.
+        // Reports the demand, so that the model is loaded for the next request.
         self.add_deferral(&request.descriptor, after);
         self.out.push(Effect::ReportDemand);
         self.refuse_with_retry_after(ticket, Reason::ServerLimit, after);
@@ -128,7 +134,7 @@
     }
   }
 
-  /// Servers that take work and could run a request.
+  /// Servers that accept work, can run a request and have not been tried for it.
   pub(crate) fn eligible_servers<'a>(
     &'a self,
     request: &'a Request,
@@ -145,12 +151,12 @@
       .map(|(_, backend)| backend)
   }
 
-  /// Whether a server named a limit.
+  /// Returns whether a server has a limit.
   pub(crate) fn has_limit(&self, backend: &Backend) -> bool {
     self.limits.rate(backend.spec.life()).is_some()
   }
 
-  /// The answer of a send has come, and names a limit or none.
+  /// Records the limit, or its absence, that the response to an attempt states.
   pub(crate) fn record_announced_limit(&mut self, ticket: Ticket, rate: Option<f64>) {
     let Some(request) = self.requests.get(&ticket) else {
       return;
@@ -159,7 +165,7 @@
       return;
     };
     let server = backend.spec.life();
-    // Whether it needs help still was known to it when the request arrived, or later.
+    // The server decided whether its limit still applies when the request arrived, or later.
     let at = if rate.is_some() {
       self.now
     } else {
@@ -170,7 +176,7 @@
     }
   }
 
-  /// Takes up what another instance heard at a time, ms, of a server's limit.
+  /// Records a server's limit that another instance received at time `at`, in ms.
   pub(crate) fn receive_limit(&mut self, server: Life, rate: Option<f64>, at: u64) {
     if self.limits.update(server, rate, at, false) {
       self.limit_changed(server, rate);
@@ -178,11 +184,15 @@
   }
 
   fn limit_changed(&mut self, server: Life, rate: Option<f64>) {
-    let there: Vec<_> = self.backends.values().map(|one| one.spec.life()).collect();
-    self.limits.prune(self.now, |life| there.contains(&life));
+    let lives: Vec<_> = self
+      .backends
+      .values()
+      .map(|backend| backend.spec.life())
+      .collect();
+    self.limits.prune(self.now, |life| lives.contains(&life));
     self.updates += 1;
-    let ids = self.backends.values();
-    let id = ids
+    let backends = self.backends.values();
+    let id = backends
       .map(|backend| &backend.spec)
       .find(|spec| spec.life() == server);
     let id = id.map(|spec| spec.id.clone()).unwrap_or_default();
