--- a/src/quota/account.rs
+++ b/src/quota/account.rs
@@ -1,152 +1,153 @@
-//! What all instances together use of quotas, as the holder of the lease counts it.
+//! Fleet-wide usage of quotas, counted by the lease holder.
 //!
-//! Of each quota the holder keeps the sum of the last window. What an instance may use
-//! counts when it is granted, not when it is used: so in any window all use at most the quota
-//! and what was granted before, which is kept below the reserve. An instance that falls silent
-//! may go on by an equal share, so that part is not granted to others; what it used beyond its
-//! grant counts when it is heard of again.
+//! For each quota the holder keeps the sum over the last window. Units count when they are granted,
+//! not when they are used. So in any window all instances together use at most the quota plus the
+//! units granted earlier, which stay below the reserve. An instance that stops reporting may
+//! continue with an equal share, so this share is not granted to others; units that it used beyond
+//! its grants count once it reports again.
 
 use super::{Allowance, Grant, Id, Use, purse, window::Window};
 use std::collections::HashMap;
 
-/// An instance that was not heard of for so long goes by its own share, ms: its grants count
-/// for less after the report that they answer.
+/// Time without a report after which an instance counts as silent and uses its own share. Its
+/// grants expire earlier, `GRANT_MS` after the report that they answer.
 const SILENT_MS: u64 = purse::GRANT_MS + 200;
-/// Use is granted ahead for so long, ms: reports come every half second, and a lost one must
+/// Period for which units are granted ahead: reports come every half second, and a lost one must
 /// not make requests wait.
 const AHEAD_MS: f64 = 1_500.0;
-/// Time over which an instance's use counts by half as much, ms.
-const HALF_MS: f64 = 1_000.0;
-/// Sums passed on at the most, 12 bytes each: the largest part of their quotas first.
-const SUMS: usize = 64;
-/// Part of a window's quota below which nothing is granted ahead: what is left goes where
-/// requests wait.
-const SCARCE: f64 = 0.25;
-/// Part of the reserve that may be granted at any time: a window's slots count a thirty-second
-/// part longer than they must.
-const SPREAD: f64 = 0.1;
-/// What instances said of a leave is forgotten after so long, ms: longer than it counts.
-const LEAVE_KEPT_MS: u64 = 15_000;
-/// Leaves that nobody uses are looked for this often, ms.
-const FORGET_MS: u64 = 1_000;
-/// Weight of a new request in what one mostly needs.
-const NEW: f64 = 0.1;
+/// Half-life of an instance's measured rate of use.
+const RATE_HALF_LIFE_MS: f64 = 1_000.0;
+/// Maximum number of published sums, 12 bytes each: those that use the largest fractions of their
+/// quotas come first.
+const MAX_SUMS: usize = 64;
+/// Fraction of a window's quota below which nothing is granted ahead: the remaining units go to
+/// instances where requests wait.
+const SCARCE_FRACTION: f64 = 0.25;
+/// Fraction of the reserve that may always be granted, because units count for up to a
+/// thirty-second part of the window longer than necessary.
+const SLOT_MARGIN: f64 = 0.1;
+/// How long an instance's use of a permit is kept: longer than a permit lasts.
+const PERMIT_KEPT_MS: u64 = 15_000;
+/// Interval at which unused permits are dropped.
+const PERMIT_CLEANUP_MS: u64 = 1_000;
+/// Weight of a new request in the moving average of units that requests need.
+const NEED_WEIGHT: f64 = 0.1;
 
-/// The use of a quota over the fleet.
+/// Fleet-wide usage of a quota.
 #[derive(Clone, Debug)]
 struct Account {
-  /// Units granted, or used without a grant.
+  /// Units granted, and units used without a grant.
   window: Window,
-  /// Units granted and not used yet, over all instances.
+  /// Units granted ahead and not used yet, over all instances.
   ahead: f64,
-  /// Units that requests mostly need.
-  typical: f64,
-  /// Units granted since this holder began.
+  /// Moving average of the units that reports request.
+  typical_need: f64,
+  /// Units granted since this holder took over.
   granted: f64,
 }
 
-/// What one instance uses of one quota.
+/// Usage of one quota by one instance.
 #[derive(Clone, Debug, Default)]
-struct Line {
+struct Usage {
   used: i64,
   limit: i64,
-  /// Units that were granted last.
+  /// Units granted in response to the last report.
   granted: f64,
-  /// Units a second, lately.
+  /// Moving average in units per second, as of `updated_at`.
   rate: f64,
-  at: u64,
+  updated_at: u64,
 }
 
 #[derive(Clone, Debug, Default)]
 struct Instance {
-  heard: u64,
-  /// What it was granted was taken back, for it does not count any more.
-  lapsed: bool,
-  lines: HashMap<Id, Line>,
+  last_report_at: u64,
+  /// Its grants have expired and were reclaimed.
+  expired: bool,
+  usages: HashMap<Id, Usage>,
 }
 
-/// How much of a quota is used over the fleet.
+/// Fleet-wide usage of a quota, for operators.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Standing {
   /// Units used or granted within the window.
   pub used: f64,
-  /// Units granted to instances and not used.
+  /// Units granted ahead to instances and not used yet.
   pub ahead: f64,
-  /// Units a second, lately.
+  /// Moving average in units per second.
   pub rate: f64,
 }
 
-/// All accounts, and what instances said.
+/// All accounts, and the usage reported by each instance.
 #[derive(Clone, Debug, Default)]
 pub struct Accounts {
   accounts: HashMap<Id, Account>,
   instances: HashMap<u64, Instance>,
-  /// When this holder took over, ms, and whether it knows what was used before.
-  took_over: Option<(u64, bool)>,
-  /// The longest window of a quota that was reported, ms.
-  longest_ms: u64,
-  /// When leaves that nobody uses were last forgotten, ms.
-  forgot: u64,
+  /// When this holder took over, in ms, and whether it knows the usage before that.
+  takeover: Option<(u64, bool)>,
+  /// Longest window of all reported quotas.
+  longest_window_ms: u64,
+  /// When unused permits were last dropped, in ms.
+  last_cleanup_at: u64,
 }
 
-/// What was used of quotas within the last window, for the next holder.
+/// Units of each quota used within the last window, for the next holder.
 pub type Sums = Vec<(Id, Quarters)>;
 
-/// Units used in each quarter of a window, the latest first.
+/// Units used in each quarter of a window, latest first.
 pub type Quarters = [u32; 4];
 
 impl Accounts {
-  /// The accounts of a holder that begins now, with what was used before some time, ms; none:
-  /// it is not known. The first holder ever has the default ones.
+  /// Creates the accounts of a holder that takes over now, from the sums as of an earlier time in
+  /// ms; `None` if the earlier usage is unknown. The very first holder uses the default accounts.
   pub fn new(
     now: u64,
     sums: Option<(u64, &Sums)>,
     allow: impl Fn(Id) -> Option<Allowance>,
   ) -> Self {
     let mut accounts = Self {
-      took_over: Some((now, sums.is_some())),
+      takeover: Some((now, sums.is_some())),
       ..Self::default()
     };
-    let Some((then, sums)) = sums else {
+    let Some((as_of, sums)) = sums else {
       return accounts;
     };
     for (id, quarters) in sums {
-      // Of one that has no quota any more nothing counts.
+      // Skips sums of quotas that no longer exist.
       let Some(allowance) = allow(*id) else {
         continue;
       };
       let mut account = Account::open(&allowance);
-      account.window.add_quarters(now, then, quarters);
+      account.window.add_quarters(now, as_of, quarters);
       accounts.accounts.insert(*id, account);
     }
     accounts
   }
 
-  /// What was used within the last window, for the next holder.
+  /// Returns the units of each quota used within the last window, for the next holder.
   pub fn sums(&mut self, now: u64, allow: impl Fn(Id) -> Option<Allowance>) -> Sums {
     let accounts = self.accounts.iter_mut();
     let mut sums: Vec<(f64, Id, Quarters)> = accounts
       .filter_map(|(id, account)| {
         let allowance = allow(*id)?;
         let sum = account.window.sum(now);
-        let part = sum / allowance.window().max(1.0);
+        let fraction = sum / allowance.window().max(1.0);
         let quarters = account.window.quarters(now);
         let quarters = quarters.map(|units| units.max(0.0) as u32);
-        (sum >= 1.0).then_some((part, *id, quarters))
+        (sum >= 1.0).then_some((fraction, *id, quarters))
       })
       .collect();
-    // A leave that is not passed on costs a copy more, a quota all that it bounds.
-    sums.sort_by(|one, two| {
-      let leaves = one.1.is_permit().cmp(&two.1.is_permit());
-      leaves.then(two.0.total_cmp(&one.0))
+    // Quotas come before permits: losing the sum of a permit allows one more copy, losing that of a
+    // quota allows everything that the quota bounds.
+    sums.sort_by(|left, right| {
+      let by_kind = left.1.is_permit().cmp(&right.1.is_permit());
+      by_kind.then(right.0.total_cmp(&left.0))
     });
-    sums.truncate(SUMS);
+    sums.truncate(MAX_SUMS);
     let sums = sums.into_iter();
     sums.map(|(_, id, quarters)| (id, quarters)).collect()
   }
 
-  /// Takes up what an instance, named by a number of its own, has used; gives how far it may
-  /// go.
+  /// Records the usage reported by an instance, identified by a number, and returns its grants.
   pub fn report(
     &mut self,
     now: u64,
@@ -154,93 +155,93 @@
     uses: &[Use],
     allow: impl Fn(Id) -> Option<Allowance>,
   ) -> Vec<Grant> {
-    self.lapse(now);
-    let heard = self.instances.entry(instance).or_default();
-    heard.heard = now;
-    heard.lapsed = false;
+    self.expire(now);
+    let reporter = self.instances.entry(instance).or_default();
+    reporter.last_report_at = now;
+    reporter.expired = false;
     let share = self.share(now);
-    let grants = uses.iter().filter_map(|one| {
-      let allowance = allow(one.id)?;
-      // A part of a unit is none.
+    let grants = uses.iter().filter_map(|reported| {
+      let allowance = allow(reported.id)?;
+      // Grants are whole units, so at least one unit is allowed.
       let allowed = (allowance.window() * share).max(1.0);
-      Some(self.settle(now, instance, one, (&allowance, allowed)))
+      Some(self.process_use(now, instance, reported, (&allowance, allowed)))
     });
     grants.collect()
   }
 
-  /// The part of a quota that may be granted: without that of instances that are not heard of.
+  /// Fraction of a quota that may be granted, without the shares of silent instances.
   fn share(&self, now: u64) -> f64 {
-    let silent = |instance: &&Instance| now > instance.heard + SILENT_MS;
+    let silent = |instance: &&Instance| now > instance.last_report_at + SILENT_MS;
     let silent = self.instances.values().filter(silent).count();
     1.0 - silent as f64 / self.instances.len().max(1) as f64
   }
 
-  /// Counts what an instance has used of a quota and grants it more, up to the units allowed
-  /// in a window.
-  fn settle(
+  /// Counts an instance's usage of a quota and grants it more units, within those allowed in a
+  /// window.
+  fn process_use(
     &mut self,
     now: u64,
     instance: u64,
-    one: &Use,
+    reported: &Use,
     (allowance, allowed): (&Allowance, f64),
   ) -> Grant {
     let rate = allowance.quota.rate;
-    self.longest_ms = self.longest_ms.max(allowance.bound.window_ms);
+    self.longest_window_ms = self.longest_window_ms.max(allowance.bound.window_ms);
     let account = self
       .accounts
-      .entry(one.id)
+      .entry(reported.id)
       .or_insert_with(|| Account::open(allowance));
     let instance = self.instances.entry(instance).or_default();
-    let known = instance.lines.contains_key(&one.id);
-    if !known {
-      account.window.add(now, one.ungranted.into());
+    let is_known = instance.usages.contains_key(&reported.id);
+    if !is_known {
+      account.window.add(now, reported.ungranted.into());
     }
-    let new = Line {
-      used: one.used,
-      limit: one.used,
+    let initial = Usage {
+      used: reported.used,
+      limit: reported.used,
       granted: 0.0,
       rate: 0.0,
-      at: now,
+      updated_at: now,
     };
-    let line = instance.lines.entry(one.id).or_insert(new);
-    line.count(now, one.used);
-    account.take_back(now, line);
-    let need = f64::from(one.need);
-    account.learn(need);
-    // What is granted ahead is bounded by the reserve, and refuses nobody; nor do requests whose
-    // units count twice while they are taken back and granted anew.
-    let spread = allowance.reserve() * SPREAD;
-    // What was granted for requests is mostly used by now: 13 requests in 40 ms went to a server
-    // that takes one in two seconds while all that is granted counted as unused.
-    let ahead = purse::ahead(allowance);
-    let mut level = allowed + account.ahead.min(ahead) + spread - account.window.sum(now);
-    let lately = |(since, _): &(u64, bool)| now < since + allowance.bound.window_ms;
-    if let Some((since, known)) = self.took_over.filter(lately) {
-      // What was used in the half second after the last word of the one before.
-      level -= rate * purse::UNKNOWN_S;
+    let usage = instance.usages.entry(reported.id).or_insert(initial);
+    usage.record(now, reported.used);
+    account.reclaim(now, usage);
+    let need = f64::from(reported.need);
+    account.record_need(need);
+    // Units granted ahead are bounded by the reserve and must not cause refusals. Neither must
+    // requests whose units count twice while they are reclaimed and granted again.
+    let margin = allowance.reserve() * SLOT_MARGIN;
+    // Units granted for waiting requests are mostly used by now. Counting them as unused let 13
+    // requests in 40 ms go to a server that accepts one in two seconds.
+    let max_ahead = purse::max_ahead(allowance);
+    let mut available = allowed + account.ahead.min(max_ahead) + margin - account.window.sum(now);
+    let is_recent = |(since, _): &(u64, bool)| now < since + allowance.bound.window_ms;
+    if let Some((since, has_sums)) = self.takeover.filter(is_recent) {
+      // Allows for units used in the half second after the previous holder last published its sums.
+      available -= rate * purse::UNKNOWN_USE_S;
       let elapsed = (now - since) as f64 / 1_000.0;
-      if !known {
-        level = level.min(rate * elapsed - account.granted);
+      if !has_sums {
+        available = available.min(rate * elapsed - account.granted);
       }
     }
-    let wanted = match level < allowed * SCARCE {
+    let wanted = match available < allowed * SCARCE_FRACTION {
       true => need,
-      false => need + account.ahead_for(now, line),
+      false => need + account.ahead_for(now, usage),
     };
-    let room = (ahead - account.ahead).max(need);
-    let granted = wanted.min(room).min(level).max(0.0).floor();
+    let headroom = (max_ahead - account.ahead).max(need);
+    let granted = wanted.min(headroom).min(available).max(0.0).floor();
     account.grant(now, granted);
-    line.granted = granted;
-    line.limit = line.used + granted as i64;
+    usage.granted = granted;
+    usage.limit = usage.used + granted as i64;
     let over_ms = match granted < need {
       true => account
         .window
-        .falls_by(now, need - granted - level.max(0.0) + granted),
+        .falls_by(now, need - granted - available.max(0.0) + granted),
       false => 0,
     };
     Grant {
-      id: one.id,
-      limit: line.limit,
+      id: reported.id,
+      limit: usage.limit,
       over_ms: if granted < need {
         over_ms.max(1) as u32
       } else {
@@ -249,49 +250,49 @@
     }
   }
 
-  /// What was granted to instances that are not heard of any more does not count, and goes
-  /// back; those that were not heard of for a window are gone.
-  fn lapse(&mut self, now: u64) {
+  /// Reclaims the grants of silent instances, and drops instances that have not reported for a
+  /// window.
+  fn expire(&mut self, now: u64) {
     let accounts = &mut self.accounts;
     for instance in self.instances.values_mut() {
-      if instance.lapsed || now <= instance.heard + SILENT_MS {
+      if instance.expired || now <= instance.last_report_at + SILENT_MS {
         continue;
       }
-      instance.lapsed = true;
-      for (id, line) in &mut instance.lines {
+      instance.expired = true;
+      for (id, usage) in &mut instance.usages {
         if let Some(account) = accounts.get_mut(id) {
-          account.take_back(now, line);
+          account.reclaim(now, usage);
         }
-        line.limit = line.used;
-        line.granted = 0.0;
+        usage.limit = usage.used;
+        usage.granted = 0.0;
       }
     }
-    if now >= self.forgot + FORGET_MS {
-      self.forgot = now;
-      self.forget_leaves(now);
+    if now >= self.last_cleanup_at + PERMIT_CLEANUP_MS {
+      self.last_cleanup_at = now;
+      self.drop_unused_permits(now);
     }
-    let kept_ms = self.longest_ms;
+    let kept_ms = self.longest_window_ms;
     self
       .instances
-      .retain(|_, instance| now < instance.heard + kept_ms.max(SILENT_MS));
+      .retain(|_, instance| now < instance.last_report_at + kept_ms.max(SILENT_MS));
   }
 
-  /// Forgets leaves: there is one for each request that was in a crash.
-  fn forget_leaves(&mut self, now: u64) {
+  /// Drops unused permits: there is one for each request that was in a crash.
+  fn drop_unused_permits(&mut self, now: u64) {
     self
       .accounts
       .retain(|id, account| !id.is_permit() || account.window.sum(now) > 0.0);
     for instance in self.instances.values_mut() {
-      let lines = &mut instance.lines;
-      lines.retain(|id, line| !id.is_permit() || now < line.at + LEAVE_KEPT_MS);
+      let usages = &mut instance.usages;
+      usages.retain(|id, usage| !id.is_permit() || now < usage.updated_at + PERMIT_KEPT_MS);
     }
   }
 
-  /// How much of a quota is used.
+  /// Returns the fleet-wide usage of a quota.
   pub fn standing(&mut self, now: u64, id: Id) -> Standing {
-    let lines = self.instances.values();
-    let lines = lines.filter_map(|instance| instance.lines.get(&id));
-    let rate = lines.map(|line| line.faded(now)).sum();
+    let usages = self.instances.values();
+    let usages = usages.filter_map(|instance| instance.usages.get(&id));
+    let rate = usages.map(|usage| usage.decayed_rate(now)).sum();
     let account = self.accounts.get_mut(&id);
     let (used, ahead) = account.map_or((0.0, 0.0), |account| {
       (account.window.sum(now), account.ahead)
@@ -305,17 +306,17 @@
     Self {
       window: Window::new(allowance.bound.window_ms),
       ahead: 0.0,
-      typical: 0.0,
+      typical_need: 0.0,
       granted: 0.0,
     }
   }
 
-  /// What a line was granted and did not use is free again; what it used without a grant
-  /// counts.
-  fn take_back(&mut self, now: u64, line: &Line) {
-    let left = (line.limit - line.used) as f64;
-    self.window.add(now, -left);
-    self.ahead = (self.ahead - line.granted).max(0.0);
+  /// Returns granted units that an instance did not use, and counts those that it used without a
+  /// grant.
+  fn reclaim(&mut self, now: u64, usage: &Usage) {
+    let unused = (usage.limit - usage.used) as f64;
+    self.window.add(now, -unused);
+    self.ahead = (self.ahead - usage.granted).max(0.0);
   }
 
   fn grant(&mut self, now: u64, units: f64) {
@@ -324,31 +325,37 @@
     self.granted += units;
   }
 
-  fn learn(&mut self, need: f64) {
+  fn record_need(&mut self, need: f64) {
     if need > 0.0 {
-      let weight = if self.typical > 0.0 { NEW } else { 1.0 };
-      self.typical += (need - self.typical) * weight;
+      let weight = if self.typical_need > 0.0 {
+        NEED_WEIGHT
+      } else {
+        1.0
+      };
+      self.typical_need += (need - self.typical_need) * weight;
     }
   }
 
-  /// Units that a line will need before its next report, one request's at least.
-  fn ahead_for(&self, now: u64, line: &Line) -> f64 {
-    let lately = line.faded(now) * AHEAD_MS / 1_000.0;
-    lately.max(self.typical)
+  /// Units that an instance is expected to need before its next report, at least those of one
+  /// request.
+  fn ahead_for(&self, now: u64, usage: &Usage) -> f64 {
+    let expected = usage.decayed_rate(now) * AHEAD_MS / 1_000.0;
+    expected.max(self.typical_need)
   }
 }
 
-impl Line {
-  /// Takes up what was used since the last report.
-  fn count(&mut self, now: u64, used: i64) {
+impl Usage {
+  /// Records the units used since the last report.
+  fn record(&mut self, now: u64, used: i64) {
     let added = (used - self.used).max(0) as f64;
-    self.rate = self.faded(now) + added * std::f64::consts::LN_2 * 1_000.0 / HALF_MS;
-    self.at = now;
+    self.rate =
+      self.decayed_rate(now) + added * std::f64::consts::LN_2 * 1_000.0 / RATE_HALF_LIFE_MS;
+    self.updated_at = now;
     self.used = used;
   }
 
-  fn faded(&self, now: u64) -> f64 {
-    let elapsed = now.saturating_sub(self.at) as f64;
-    self.rate * 0.5f64.powf(elapsed / HALF_MS)
+  fn decayed_rate(&self, now: u64) -> f64 {
+    let elapsed = now.saturating_sub(self.updated_at) as f64;
+    self.rate * 0.5f64.powf(elapsed / RATE_HALF_LIFE_MS)
   }
 }
--- a/src/quota/mod.rs
+++ b/src/quota/mod.rs
@@ -1,10 +1,8 @@
-//! Quotas that all instances keep together: how much of something may be used in a window of
-//! time, whichever of them uses it.
+//! Distributed quotas: how much all instances together may use within a sliding time window.
 //!
-//! The holder of the lease counts what is used and grants each instance how far it may go
-//! (`Accounts`); an instance spends what it was granted, and goes by its share of what was left
-//! where no holder answers (`Purse`). Customers have quotas, and so have backend servers in need.
-//! Pure: no I/O, no clock.
+//! The lease holder counts usage and grants units to each instance (`Accounts`). An instance uses
+//! its grants, or its share of the remaining quota if no holder responds (`Balances`). Customers
+//! have quotas, and so do backend servers that announce a limit. Pure: no I/O, no clock.
 
 mod account;
 mod purse;
@@ -18,69 +16,70 @@
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-/// Names whose quota it is, over all instances: a hash. Of ten thousand two share one with a
-/// probability of 3 in 10^12.
+/// Id of a quota: a hash that is the same on all instances. Among ten thousand ids the probability
+/// of a collision is 3 in 10^12.
 #[derive(
   Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
 pub struct Id(pub u64);
 
 impl Id {
-  /// The customer of a name.
+  /// Quota of the customer with this name.
   pub fn for_customer(name: &str) -> Self {
-    Self(xxh3_64(name.as_bytes()) & !LEAVES)
+    Self(xxh3_64(name.as_bytes()) & !PERMIT_BIT)
   }
 
-  /// One life of a backend server: the next one has named no limit yet.
+  /// Limit of one life of a backend server: the next life has not announced a limit yet.
   pub fn for_server(life: Life) -> Self {
-    Self(xxh3_64_with_seed(&life.bytes(), SERVERS) & !LEAVES)
+    Self(xxh3_64_with_seed(&life.bytes(), SERVER_SEED) & !PERMIT_BIT)
   }
 
-  /// The leave of a content at a stage.
+  /// Permit for a content at a stage.
   pub fn for_permit(content: u128, stage: u32) -> Self {
-    Self(xxh3_64_with_seed(&content.to_le_bytes(), stage.into()) | LEAVES)
+    Self(xxh3_64_with_seed(&content.to_le_bytes(), stage.into()) | PERMIT_BIT)
   }
 
-  /// Whether it names a leave: whoever grants it needs to know nothing of it.
+  /// Returns whether this is the id of a permit, which a holder can grant without knowing anything
+  /// else about it.
   pub fn is_permit(self) -> bool {
-    self.0 & LEAVES > 0
+    self.0 & PERMIT_BIT > 0
   }
 }
 
-/// Set in the names of leaves only.
-const LEAVES: u64 = 1 << 63;
+/// Bit that is set only in the ids of permits.
+const PERMIT_BIT: u64 = 1 << 63;
 
-/// Keeps servers' names apart from customers'.
-const SERVERS: u64 = 1;
+/// Hash seed that separates the ids of servers from those of customers.
+const SERVER_SEED: u64 = 1;
 
-/// What may be used, over all instances together.
+/// A quota that all instances share.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Quota {
-  /// Units a second.
+  /// Units per second.
   pub rate: f64,
-  /// Units on top, at once.
+  /// Additional units that may be used at once.
   pub burst: f64,
 }
 
-/// What all instances together must keep of a quota.
+/// Window and tolerance with which all instances together keep a quota.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Bound {
-  /// Length of the window, ms.
+  /// Length of the window in ms.
   pub window_ms: u64,
-  /// Part of a window's quota that may be used on top.
+  /// Fraction of a window's quota that may be used in addition to it.
   pub overage: f64,
-  /// Units on top besides.
+  /// Units that may be used in addition to quota and overage.
   pub slack: f64,
 }
 
-/// What is kept where the settings state nothing else.
+/// Bound that applies unless the settings state another.
 pub const DEFAULT_BOUND: Bound = Bound {
   window_ms: 8_000,
   overage: 0.1,
   slack: 0.0,
 };
 
-/// A quota with what all instances must keep of it.
+/// A quota and its bound.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Allowance {
   pub quota: Quota,
@@ -88,47 +87,47 @@
 }
 
 impl Allowance {
-  /// Units allowed in one window.
+  /// Units allowed within one window.
   pub fn window(&self) -> f64 {
     self.bound.window(&self.quota)
   }
 
-  /// Units that may be used in one window beyond the quota itself.
+  /// Units that may be used within one window in addition to the quota.
   pub fn reserve(&self) -> f64 {
     self.bound.reserve(&self.quota)
   }
 }
 
 impl Bound {
-  /// Units that a quota allows in one window.
+  /// Units that a quota allows within one window.
   pub fn window(&self, quota: &Quota) -> f64 {
     quota.rate * self.window_ms as f64 / 1_000.0 + quota.burst
   }
 
-  /// Units that may be used in one window beyond the quota itself.
+  /// Units that may be used within one window in addition to the quota.
   pub fn reserve(&self, quota: &Quota) -> f64 {
     self.window(quota) * self.overage + self.slack
   }
 }
 
-/// What an instance has used of a quota since it started, and needs now.
+/// Units of a quota that an instance has used since it started, and those that it needs now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Use {
   pub id: Id,
   pub used: i64,
-  /// Units of requests that wait for a grant.
+  /// Units needed by requests that wait for a grant.
   pub need: u32,
-  /// Units used without a grant within the last window, for a holder that has taken over.
+  /// Units used without a grant within the last window, for a holder that has just taken over.
   #[serde(rename = "apart")]
   pub ungranted: u32,
 }
 
-/// How far an instance may go.
+/// Units of a quota granted to an instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Grant {
   pub id: Id,
-  /// It may use until what it has used since its start reaches this.
+  /// The instance may use units until its total since it started reaches this.
   pub limit: i64,
-  /// What it needs is beyond the quota for so much longer, ms; 0: it is not.
+  /// Time in ms until the needed units fit into the quota; 0 if they fit now.
   pub over_ms: u32,
 }
--- a/src/quota/purse.rs
+++ b/src/quota/purse.rs
@@ -1,93 +1,94 @@
-//! What one instance may use of quotas.
+//! Quota units that one instance may use.
 //!
-//! The holder of the lease grants each instance how far it may go, ahead by what it used
-//! lately. A request beyond that is asked for and waits some milliseconds. Where the holder
-//! says nothing, an instance goes by an equal share of what was left by the holder's last word,
-//! in whole requests by chance: all together they keep the quota.
+//! The lease holder grants units ahead to each instance, according to its recent use. For a request
+//! beyond that the instance asks for a grant, and the request waits a few milliseconds. If the
+//! holder does not respond, an instance uses an equal share of the quota that remained according to
+//! the holder's last sums. It admits whole requests at random, so that all instances together keep
+//! the quota.
 
 use super::{Allowance, Grant, Id, Quarters, Sums, Use, Window};
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use std::collections::HashMap;
 
-/// A grant counts for so long after the report that it answers, ms: longer than three reports
-/// that are lost in a row, and what it leaves unused is granted to others later.
+/// Lifetime of a grant after the report that it answers: longer than three lost reports in a row.
+/// Its unused units are granted to other instances later.
 pub(super) const GRANT_MS: u64 = 2_000;
-/// A holder that has not answered for so long what is needed is not there, ms: it is asked again
-/// each 40, and a small one may be busy for half a second.
-const UNANSWERED_MS: u64 = 1_000;
-/// What is known of a leave is forgotten after so long without use, ms: later than the holder
-/// forgets it, which could take what was used for given back.
-const LEAVE_IDLE_MS: u64 = 30_000;
-/// What is used between a holder's last word and its end is not known to anybody, and counts as
-/// the rate's use in so many seconds: half a second of a customer that sends 7.5 times its usual,
-/// where quotas are 1.8 times that.
-pub(super) const UNKNOWN_S: f64 = 2.0;
-/// Part of the reserve that instances share while no holder is heard of.
-const APART: f64 = 0.5;
-/// A request waits so long for a grant, ms: an answer takes some ms, one that is lost is asked
-/// for again, and an objective is 300 or more.
-const ASK_MS: u64 = 150;
-/// Pause before what is needed is asked for again, ms.
+/// Time without an answer to a requested grant after which the holder counts as unreachable: the
+/// request is repeated every 40 ms, and a small instance may be busy for half a second.
+const HOLDER_TIMEOUT_MS: u64 = 1_000;
+/// Time without use after which the balance of a permit is dropped: later than at the holder, which
+/// could otherwise mistake used units for refunded ones.
+const PERMIT_IDLE_MS: u64 = 30_000;
+/// Nobody knows the units used between a holder's last sums and its end. They count as
+/// this many seconds of use at the quota's rate: half a second of a customer that sends 7.5 times
+/// its usual load, with a quota of 1.8 times that load.
+pub(super) const UNKNOWN_USE_S: f64 = 2.0;
+/// Fraction of the reserve that instances share while no holder responds.
+const UNGRANTED_FRACTION: f64 = 0.5;
+/// How long a request waits for a grant: an answer takes a few ms, a lost one is requested again,
+/// and latency objectives are 300 ms or more.
+const GRANT_TIMEOUT_MS: u64 = 150;
+/// Interval at which needed units are requested again.
 pub const GRANT_RETRY_MS: u64 = 40;
-/// A customer that is beyond its quota is taken for it for so long at the most, ms: a request
-/// of another instance may have been given back.
-const OVER_MS: u64 = 200;
-/// Without use for so long a customer is not reported, ms.
+/// Maximum time for which an exceeded quota refuses requests without asking the holder again:
+/// another instance may have refunded units.
+const MAX_EXCEEDED_MS: u64 = 200;
+/// Time without use after which a quota is no longer reported.
 const IDLE_MS: u64 = 8_000;
-/// Uses of one report at the most: 20 bytes each.
-const USES: usize = 200;
-/// Longest time after which a caller is told to come back, ms: a window, and some.
-const RETRY_MOST_MS: u64 = 10_000;
-/// Spread of the times after which callers come back, ms: those refused together must not
-/// return together.
-const RETRY_SPREAD_MS: u64 = 100;
+/// Maximum number of uses in one report, 20 bytes each.
+const MAX_USES: usize = 200;
+/// Maximum retry-after sent to a caller: slightly longer than a window.
+const MAX_RETRY_MS: u64 = 10_000;
+/// Jitter of retry-after, so that callers refused together do not retry together.
+const RETRY_JITTER_MS: u64 = 100;
 
-/// What becomes of a request's units.
+/// Result of acquiring units for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Decision {
   Granted,
-  /// The holder is asked; it waits until then at the most, ms.
+  /// Requested from the holder; the request waits until this time at most, in ms.
   Pending(u64),
-  /// Beyond the quota; it fits after so long, ms.
+  /// The quota is exceeded; retry after this time, in ms.
   Exceeded(u64),
 }
 
 #[derive(Clone, Debug, Default)]
-struct Wallet {
+struct Balance {
   /// Units used since this instance started.
   used: i64,
-  /// May go up to this, before this time, ms.
+  /// Value that `used` may reach before `expires_at`.
   limit: i64,
-  until: u64,
-  /// Taken for beyond its quota until then, ms.
-  over_until: u64,
-  /// When what it needs will fit, ms.
+  /// When the grant expires, in ms.
+  expires_at: u64,
+  /// Until when the quota counts as exceeded, in ms.
+  exceeded_until: u64,
+  /// When the needed units will fit into the quota, in ms.
   fits_at: u64,
-  /// When a request last counted, ms.
-  active: u64,
-  /// Units used without a grant; none: nothing was spent yet.
-  apart: Option<Window>,
+  /// When a request last tried to acquire units, in ms.
+  last_used_at: u64,
+  /// Units used without a grant; `None` if no request has tried to acquire units yet.
+  ungranted: Option<Window>,
 }
 
-impl Wallet {
-  /// Units used without a grant, in windows of a length, ms.
-  fn apart(&mut self, length_ms: u64) -> &mut Window {
-    self.apart.get_or_insert_with(|| Window::new(length_ms))
+impl Balance {
+  /// Units used without a grant, in a window of this length in ms.
+  fn ungranted(&mut self, length_ms: u64) -> &mut Window {
+    self.ungranted.get_or_insert_with(|| Window::new(length_ms))
   }
 
-  fn left(&self, now: u64) -> i64 {
-    match now < self.until {
+  fn remaining(&self, now: u64) -> i64 {
+    match now < self.expires_at {
       true => self.limit - self.used,
       false => 0,
     }
   }
 }
 
-/// What all instances used within the last window, by the holder's word.
+/// Units used by all instances within the last window, as published by the holder.
 #[derive(Clone, Debug)]
 struct Fleet {
-  /// As of this time, ms.
-  then: u64,
+  /// Time of the sums, in ms.
+  as_of: u64,
   sums: HashMap<Id, Quarters>,
 }
 
@@ -97,210 +98,224 @@
       return 0.0;
     };
     let mut window = Window::new(length_ms);
-    window.add_quarters(now, self.then, quarters);
+    window.add_quarters(now, self.as_of, quarters);
     window.sum(now)
   }
 }
 
-/// What one instance knows of quotas.
+/// Balances of all quotas at one instance.
 #[derive(Clone, Debug)]
 pub struct Balances {
-  wallets: HashMap<Id, Wallet>,
-  /// None: nothing was heard of a holder since this instance started.
+  balances: HashMap<Id, Balance>,
+  /// `None` if no sums were received since this instance started.
   fleet: Option<Fleet>,
-  /// When this instance first spent something, ms; 0: it has not.
-  started: u64,
-  /// When the report was sent that the holder last answered, and when the answer came, ms.
-  answered: Option<(u64, u64)>,
-  /// When what is needed was first asked for that the holder has not answered, ms; none: it has
-  /// answered all.
-  unanswered: Option<u64>,
-  /// When the holder was last asked for what waits, ms.
-  asked: u64,
+  /// When this instance first tried to acquire units, in ms; 0 if it has not.
+  first_used_at: u64,
+  /// When the report was sent that the holder last answered, and when its answer arrived, in ms.
+  last_answer: Option<(u64, u64)>,
+  /// When the oldest unanswered request for units was sent, in ms; `None` if all are answered.
+  unanswered_since: Option<u64>,
+  /// When needed units were last requested from the holder, in ms.
+  requested_at: u64,
   rng: SmallRng,
 }
 
 impl Balances {
-  /// A purse of an instance that has started now.
+  /// Creates the balances of an instance that starts now.
   pub fn new(seed: u64) -> Self {
     Self {
-      wallets: HashMap::new(),
+      balances: HashMap::new(),
       fleet: None,
-      started: 0,
-      answered: None,
-      unanswered: None,
-      asked: 0,
+      first_used_at: 0,
+      last_answer: None,
+      unanswered_since: None,
+      requested_at: 0,
       rng: SmallRng::seed_from_u64(seed),
     }
   }
 
-  /// Takes units of a quota for a request that waits for them since `asked`, ms, where that is
-  /// allowed; `instances` share the quota.
+  /// Acquires units of a quota for a request, if allowed. The request has waited for them since
+  /// `requested`, in ms; `instances` is the number of instances that share the quota.
   pub fn acquire(
     &mut self,
     now: u64,
     (id, allowance): (Id, &Allowance),
     cost: u32,
-    asked: Option<u64>,
+    requested: Option<u64>,
     instances: usize,
   ) -> Decision {
-    let answers = self.holder_responds(now);
-    if self.started == 0 {
-      self.started = now;
+    let holder_responds = self.holder_responds(now);
+    if self.first_used_at == 0 {
+      self.first_used_at = now;
     }
-    let left = self.left_apart(now, (id, allowance), instances);
+    let share = self.remaining_share(now, (id, allowance), instances);
     let length_ms = allowance.bound.window_ms;
-    let wallet = self.wallets.entry(id).or_default();
-    wallet.active = now;
-    if wallet.left(now) >= i64::from(cost) {
-      wallet.used += i64::from(cost);
+    let balance = self.balances.entry(id).or_default();
+    balance.last_used_at = now;
+    if balance.remaining(now) >= i64::from(cost) {
+      balance.used += i64::from(cost);
       return Decision::Granted;
     }
-    if now < wallet.over_until {
+    if now < balance.exceeded_until {
       return Decision::Exceeded(self.retry_after(now, id));
     }
-    let patience = asked.unwrap_or(now) + ASK_MS;
-    if answers && now < patience {
-      return Decision::Pending(patience);
+    let grant_deadline = requested.unwrap_or(now) + GRANT_TIMEOUT_MS;
+    if holder_responds && now < grant_deadline {
+      return Decision::Pending(grant_deadline);
     }
-    // Whole requests by chance, on the average what the share holds: less than a request's
-    // share is used up by either outcome, or those refused would draw again until one fits.
+    // Admits whole requests at random, on average as many as the share allows. A share of less than
+    // one request is used up by either outcome; otherwise refused requests would be retried until
+    // one is admitted.
     let units = f64::from(cost);
-    if left >= units || self.rng.random_range(0.0..units.max(1.0)) < left {
-      wallet.used += i64::from(cost);
-      wallet.apart(length_ms).add(now, units.min(left));
+    if share >= units || self.rng.random_range(0.0..units.max(1.0)) < share {
+      balance.used += i64::from(cost);
+      balance.ungranted(length_ms).add(now, units.min(share));
       return Decision::Granted;
     }
-    wallet.apart(length_ms).add(now, left);
-    let share = allowance.quota.rate / instances.max(1) as f64;
-    let after = (units / share.max(f64::MIN_POSITIVE) * 1_000.0) as u64;
-    Decision::Exceeded(after.clamp(RETRY_SPREAD_MS, RETRY_MOST_MS))
+    balance.ungranted(length_ms).add(now, share);
+    let rate = allowance.quota.rate / instances.max(1) as f64;
+    let after = (units / rate.max(f64::MIN_POSITIVE) * 1_000.0) as u64;
+    Decision::Exceeded(after.clamp(RETRY_JITTER_MS, MAX_RETRY_MS))
   }
 
-  /// Units that this instance may use without a grant: its part of what was left.
-  fn left_apart(&mut self, now: u64, (id, allowance): (Id, &Allowance), instances: usize) -> f64 {
-    let wallet = self.wallets.entry(id).or_default();
-    let apart = wallet.apart(allowance.bound.window_ms).sum(now);
+  /// Units that this instance may use without a grant: its share of the remaining quota.
+  fn remaining_share(
+    &mut self,
+    now: u64,
+    (id, allowance): (Id, &Allowance),
+    instances: usize,
+  ) -> f64 {
+    let balance = self.balances.entry(id).or_default();
+    let ungranted = balance.ungranted(allowance.bound.window_ms).sum(now);
     let rate = allowance.quota.rate;
-    let all = match &self.fleet {
+    let remaining = match &self.fleet {
       Some(fleet) => {
         let used = fleet.used(now, id, allowance.bound.window_ms);
-        let reserve = allowance.reserve() * APART;
-        allowance.window() + reserve - used - rate * UNKNOWN_S
+        let reserve = allowance.reserve() * UNGRANTED_FRACTION;
+        allowance.window() + reserve - used - rate * UNKNOWN_USE_S
       }
-      // What was used before it started is not known to it.
+      // The usage before this instance started is unknown.
       None => allowance
         .window()
-        .min(rate * (now - self.started) as f64 / 1_000.0),
+        .min(rate * (now - self.first_used_at) as f64 / 1_000.0),
     };
-    (all / instances.max(1) as f64 - apart).max(0.0)
+    (remaining / instances.max(1) as f64 - ungranted).max(0.0)
   }
 
-  /// Takes up what all instances used within the last window, as of a time, ms.
-  pub fn receive_sums(&mut self, then: u64, sums: &Sums) {
+  /// Stores the units used by all instances within the last window, as of a time in ms.
+  pub fn receive_sums(&mut self, as_of: u64, sums: &Sums) {
     let sums = sums.iter().copied().collect();
-    self.fleet = Some(Fleet { then, sums });
+    self.fleet = Some(Fleet { as_of, sums });
   }
 
-  /// Whether the holder answers, as far as known: where there was nothing to report for a while
-  /// it was not asked.
+  /// Returns whether the holder responds, as far as known: it is not contacted while there is
+  /// nothing to report.
   pub fn holder_responds(&self, now: u64) -> bool {
     self
-      .unanswered
-      .is_none_or(|since| now < since + UNANSWERED_MS)
+      .unanswered_since
+      .is_none_or(|since| now < since + HOLDER_TIMEOUT_MS)
   }
 
   fn retry_after(&mut self, now: u64, id: Id) -> u64 {
-    let until = self.wallets.get(&id).map_or(now, |wallet| wallet.fits_at);
-    let spread = self.rng.random_range(0..RETRY_SPREAD_MS);
-    (until.saturating_sub(now) + spread).clamp(RETRY_SPREAD_MS, RETRY_MOST_MS)
+    let fits_at = self
+      .balances
+      .get(&id)
+      .map_or(now, |balance| balance.fits_at);
+    let jitter = self.rng.random_range(0..RETRY_JITTER_MS);
+    (fits_at.saturating_sub(now) + jitter).clamp(RETRY_JITTER_MS, MAX_RETRY_MS)
   }
 
-  /// A request that counted was surely not run.
+  /// Refunds the units of a request that certainly did not run.
   pub fn refund(&mut self, id: Id, cost: u32) {
-    if let Some(wallet) = self.wallets.get_mut(&id) {
-      wallet.used -= i64::from(cost);
+    if let Some(balance) = self.balances.get_mut(&id) {
+      balance.used -= i64::from(cost);
     }
   }
 
-  /// Takes up the holder's answer to the report that was sent at a time, ms.
+  /// Applies the holder's answer to the report that was sent at time `sent`, in ms.
   pub fn receive_grants(&mut self, now: u64, sent: u64, grants: &[Grant]) {
-    if self.answered.is_some_and(|(last, _)| sent < last) {
-      // A later report was answered before.
+    if self.last_answer.is_some_and(|(last, _)| sent < last) {
+      // The answer to a later report has already arrived.
       return;
     }
-    self.answered = Some((sent, now));
-    self.unanswered = self.unanswered.filter(|since| *since > sent);
+    self.last_answer = Some((sent, now));
+    self.unanswered_since = self.unanswered_since.filter(|since| *since > sent);
     for grant in grants {
-      let wallet = self.wallets.entry(grant.id).or_default();
-      wallet.limit = grant.limit;
-      wallet.until = sent + GRANT_MS;
-      if grant.over_ms == 0 && grant.limit <= wallet.used {
-        // Nothing was needed: that says nothing of what fits.
+      let balance = self.balances.entry(grant.id).or_default();
+      balance.limit = grant.limit;
+      balance.expires_at = sent + GRANT_MS;
+      if grant.over_ms == 0 && grant.limit <= balance.used {
+        // No units were needed, so the grant does not show whether more would fit.
         continue;
       }
-      let over = u64::from(grant.over_ms);
-      wallet.over_until = now + over.min(OVER_MS);
-      wallet.fits_at = now + over;
+      let over_ms = u64::from(grant.over_ms);
+      balance.exceeded_until = now + over_ms.min(MAX_EXCEEDED_MS);
+      balance.fits_at = now + over_ms;
     }
   }
 
-  /// What was used lately and what is needed, for the holder; those first that need some.
+  /// Returns recent usage and needed units for a report to the holder, quotas with a need first.
   pub fn uses(&mut self, now: u64, needs: &HashMap<Id, u32>) -> Vec<Use> {
-    let kept = |wallet: &Wallet| now < wallet.active + IDLE_MS || now < wallet.until;
-    // What was used by an idle one was reported long ago, and counts in its limit.
+    let is_active =
+      |balance: &Balance| now < balance.last_used_at + IDLE_MS || now < balance.expires_at;
+    // The usage of an idle quota was reported long ago and is included in its limit.
     let mut uses: Vec<Use> = self
-      .wallets
+      .balances
       .iter_mut()
-      .filter(|(_, wallet)| kept(wallet))
-      .map(|(id, wallet)| Use {
+      .filter(|(_, balance)| is_active(balance))
+      .map(|(id, balance)| Use {
         id: *id,
-        used: wallet.used,
+        used: balance.used,
         need: needs.get(id).copied().unwrap_or_default(),
-        ungranted: wallet
-          .apart
+        ungranted: balance
+          .ungranted
           .as_mut()
-          .map_or(0.0, |apart| apart.sum(now))
+          .map_or(0.0, |ungranted| ungranted.sum(now))
           .max(0.0) as u32,
       })
       .collect();
-    uses.sort_by_key(|one| (one.need == 0, one.id));
-    uses.truncate(USES);
+    uses.sort_by_key(|usage| (usage.need == 0, usage.id));
+    uses.truncate(MAX_USES);
     if !needs.is_empty() {
-      self.asked = now;
-      self.unanswered.get_or_insert(now);
+      self.requested_at = now;
+      self.unanswered_since.get_or_insert(now);
     }
-    self.forget_leaves(now);
+    self.drop_idle_permits(now);
     uses
   }
 
-  fn forget_leaves(&mut self, now: u64) {
-    let kept = |id: &Id, wallet: &Wallet| !id.is_permit() || now < wallet.active + LEAVE_IDLE_MS;
-    self.wallets.retain(|id, wallet| kept(id, wallet));
+  fn drop_idle_permits(&mut self, now: u64) {
+    let is_kept =
+      |id: &Id, balance: &Balance| !id.is_permit() || now < balance.last_used_at + PERMIT_IDLE_MS;
+    self.balances.retain(|id, balance| is_kept(id, balance));
   }
 
-  /// When what is needed is to be asked for again, ms.
+  /// When needed units are to be requested again, in ms.
   pub fn next_request_at(&self) -> u64 {
-    self.asked + GRANT_RETRY_MS
+    self.requested_at + GRANT_RETRY_MS
   }
 
-  /// Units used since the start, and what is left of the grant.
+  /// Units used since the start, and units that remain of the grant.
   pub fn standing(&self, now: u64, id: Id) -> (i64, i64) {
-    let wallet = self.wallets.get(&id);
-    wallet.map_or((0, 0), |wallet| (wallet.used, wallet.left(now).max(0)))
+    let balance = self.balances.get(&id);
+    balance.map_or((0, 0), |balance| {
+      (balance.used, balance.remaining(now).max(0))
+    })
   }
 
-  /// Since the holder's last answer, ms; none: there was none.
+  /// Time since the holder's last answer, in ms; `None` if there was none.
   pub fn age(&self, now: u64) -> Option<u64> {
-    self.answered.map(|(_, came)| now.saturating_sub(came))
+    self
+      .last_answer
+      .map(|(_, arrived)| now.saturating_sub(arrived))
   }
 }
 
-/// The part of the reserve that may be granted ahead: the rest is for what instances use that
-/// are not heard of.
-const AHEAD: f64 = 0.5;
+/// Fraction of the reserve that may be granted ahead: the rest is for units that instances use
+/// while they do not report.
+const AHEAD_FRACTION: f64 = 0.5;
 
 /// Units that may be granted ahead to all instances together.
-pub(super) fn ahead(allowance: &Allowance) -> f64 {
-  allowance.reserve() * AHEAD
+pub(super) fn max_ahead(allowance: &Allowance) -> f64 {
+  allowance.reserve() * AHEAD_FRACTION
 }
--- a/src/quota/window.rs
+++ b/src/quota/window.rs
@@ -1,23 +1,23 @@
-//! Units that were used within the last so many milliseconds, in slots of time.
+//! Sliding sum of the units used within a time window, kept in time slots.
 
 use super::Quarters;
 use std::collections::VecDeque;
 
-/// Slots of a window: what was used counts for a thirty-second part of the window longer than
-/// it must.
+/// Slots per window. Units count for up to a thirty-second part of the window longer than
+/// necessary.
 const SLOTS: u64 = 32;
 
-/// A sliding sum.
+/// A sliding sum over a time window.
 #[derive(Clone, Debug)]
 pub struct Window {
   length_ms: u64,
-  /// Numbers of slots, and what was used in each; the oldest first.
+  /// Slot numbers, and the units used in each slot; oldest first.
   slots: VecDeque<(u64, f64)>,
   sum: f64,
 }
 
 impl Window {
-  /// An empty window of a length, ms.
+  /// Creates an empty window of this length in ms.
   pub fn new(length_ms: u64) -> Self {
     Self {
       length_ms: length_ms.max(SLOTS),
@@ -30,7 +30,7 @@
     self.length_ms / SLOTS
   }
 
-  /// Adds units used now; fewer than none were given back.
+  /// Adds units used now; a negative number refunds units.
   pub fn add(&mut self, now: u64, units: f64) {
     self.trim(now);
     let slot = now / self.slot_ms();
@@ -41,28 +41,28 @@
     self.sum += units;
   }
 
-  /// Adds units that were used at an earlier time, ms.
+  /// Adds units that were used at an earlier time, in ms.
   pub fn add_at(&mut self, now: u64, at: u64, units: f64) {
     let slot = at.min(now) / self.slot_ms();
-    let place = self.slots.partition_point(|(other, _)| *other < slot);
-    match self.slots.get_mut(place) {
+    let position = self.slots.partition_point(|(other, _)| *other < slot);
+    match self.slots.get_mut(position) {
       Some((other, used)) if *other == slot => *used += units,
-      _ => self.slots.insert(place, (slot, units)),
+      _ => self.slots.insert(position, (slot, units)),
     }
     self.sum += units;
     self.trim(now);
   }
 
-  /// Adds what was used in each quarter of a window that ended at a time, ms: each at its end,
-  /// so that it counts for longer rather than shorter.
-  pub fn add_quarters(&mut self, now: u64, then: u64, quarters: &Quarters) {
+  /// Adds the units used in each quarter of a window that ended at time `end`, in ms. They are
+  /// added at the end of their quarter, so that they count for longer rather than shorter.
+  pub fn add_quarters(&mut self, now: u64, end: u64, quarters: &Quarters) {
     for (quarter, units) in quarters.iter().enumerate() {
-      let at = then.saturating_sub(quarter as u64 * self.length_ms / 4);
+      let at = end.saturating_sub(quarter as u64 * self.length_ms / 4);
       self.add_at(now, at, f64::from(*units));
     }
   }
 
-  /// Units used in each quarter of the window, the latest first.
+  /// Units used in each quarter of the window, latest first.
   pub fn quarters(&mut self, now: u64) -> [f64; 4] {
     self.trim(now);
     let mut quarters = [0.0; 4];
@@ -80,14 +80,14 @@
     self.sum
   }
 
-  /// After how long the sum has fallen by so many units, ms.
+  /// Time in ms until the sum has fallen by this number of units.
   pub fn falls_by(&self, now: u64, units: f64) -> u64 {
     let mut left = units;
     for (slot, used) in &self.slots {
       left -= used;
       if left <= 0.0 {
-        let gone = (slot + 1) * self.slot_ms() + self.length_ms;
-        return gone.saturating_sub(now);
+        let expires_at = (slot + 1) * self.slot_ms() + self.length_ms;
+        return expires_at.saturating_sub(now);
       }
     }
     self.length_ms
@@ -103,7 +103,7 @@
       self.slots.pop_front();
     }
     if self.slots.is_empty() {
-      // Sums of fractions do not end at nothing by themselves.
+      // Rounding errors of fractions may leave a remainder.
       self.sum = 0.0;
     }
   }
