--- a/src/learn.rs
+++ b/src/learn.rs
@@ -1,4 +1,4 @@
-//! What follows from a newly learned fact.
+//! Applies newly received facts to the derived state.
 
 use crate::{
   catalog::Catalog,
@@ -13,7 +13,7 @@
 };
 
 impl State {
-  /// Brings derived state up to date with the fact now held for `key`.
+  /// Updates the derived state from the stored fact for `key`.
   pub fn apply_fact(&mut self, key: &Key) {
     let Some((body, version)) = self.facts.get(key) else {
       return;
@@ -21,10 +21,10 @@
     let body = body.clone();
     match (key, body) {
       (Key::Member(_), Body::Member(_)) => self.refresh_members(),
-      (Key::Listing(machine), Body::Listing(listed)) => self.learn_listing(machine, listed),
-      (Key::Object(name), Body::Object(value)) => self.learn_object(name, version, value),
+      (Key::Listing(machine), Body::Listing(state)) => self.apply_listing(machine, state),
+      (Key::Object(name), Body::Object(value)) => self.apply_object(name, version, value),
       (Key::Placement(model), Body::Placement(replicas)) => {
-        self.learn_placement(model, &replicas);
+        self.apply_placement(model, &replicas);
       }
       (Key::Residence(server), Body::Residence { residents, leaving }) => {
         let key = self.server(server);
@@ -34,7 +34,7 @@
         server.residents = residents
           .map(|resident| (resident.replica, resident.stage))
           .collect();
-        self.pump_waiting();
+        self.dispatch_waiting();
       }
       (Key::Cache(server), Body::Cache(cached)) => {
         let key = self.server(server);
@@ -47,15 +47,15 @@
           .into_iter()
           .map(|(id, running)| (id, running.saturating_sub(server.own_load(id))))
           .collect();
-        self.pump_waiting();
+        self.dispatch_waiting();
       }
       (Key::Batch(id), Body::Batch { finished }) => self.learn_batch(id, finished),
       _ => {}
     }
   }
 
-  fn learn_listing(&mut self, machine: &str, listed: MachineState) {
-    if listed == MachineState::Live || !self.catalog.servers.contains_key(machine) {
+  fn apply_listing(&mut self, machine: &str, state: MachineState) {
+    if state == MachineState::Live || !self.catalog.servers.contains_key(machine) {
       return;
     }
     let key = self.server(machine);
@@ -65,10 +65,11 @@
     }
   }
 
-  fn learn_object(&mut self, name: &Name, version: Version, value: Option<String>) {
-    if let Err(why) = self.catalog.put(name, value.as_deref()) {
-      // Checked before it became a fact; a peer of another release may differ.
-      self.reject(name, version.0, why);
+  fn apply_object(&mut self, name: &Name, version: Version, value: Option<String>) {
+    if let Err(reason) = self.catalog.put(name, value.as_deref()) {
+      // Objects are checked before they become facts, but a peer of another release may check
+      // differently.
+      self.reject(name, version.0, reason);
       return;
     }
     self.configured = true;
@@ -78,13 +79,13 @@
       self.refresh_owner(&name.name);
     }
     if matches!(name.kind, Kind::Server | Kind::Policy) {
-      // Who looks after which server, and what is always kept, may differ now.
+      // The owners of servers and the replicas that are always kept may have changed.
       self.owned_epoch = 0;
     }
-    self.pump_waiting();
+    self.dispatch_waiting();
   }
 
-  /// Records what came into force since the last round.
+  /// Logs how many objects came into force since the last call, and their newest version.
   pub fn log_updates(&mut self) {
     let (objects, version) = std::mem::take(&mut self.updates);
     if objects > 0 {
@@ -92,18 +93,18 @@
     }
   }
 
-  fn reject(&mut self, name: &Name, version: u64, why: String) {
+  fn reject(&mut self, name: &Name, version: u64, reason: String) {
     self.log(Entry::Rejected {
       object: name.to_string(),
       version,
-      why: why.clone(),
+      why: reason.clone(),
     });
     let key = Key::Rejected(name.clone());
-    self.publish(key, Version(version, 0), Body::Rejected(why));
+    self.publish(key, Version(version, 0), Body::Rejected(reason));
   }
 
-  /// Takes up objects read from the platform; one that fails its check leaves the
-  /// last good one in force.
+  /// Publishes objects read from the platform. If an object fails its check, the last valid version
+  /// stays in force.
   pub fn on_configuration_read(&mut self, objects: Vec<Object>) {
     for object in objects {
       let key = Key::Object(object.name.clone());
@@ -113,54 +114,54 @@
       }
       match Catalog::check(&object.name, object.value.as_deref()) {
         Ok(()) => self.publish(key, Version(object.version, 0), Body::Object(object.value)),
-        Err(why) => self.reject(&object.name, object.version, why),
+        Err(reason) => self.reject(&object.name, object.version, reason),
       }
     }
     self.configured = true;
   }
 
-  /// Takes up the platform's list; what was listed and no longer is has gone.
+  /// Publishes the platform's list of instances; those that are no longer listed are gone.
   pub fn on_instances_listed(&mut self, revision: u64, entries: Vec<Listing>) {
     for entry in &entries {
       if let (Some(peer), true) = (&entry.peer, entry.state != MachineState::Gone) {
-        self.seed(&entry.id, peer);
+        self.add_seed(&entry.id, peer);
       }
     }
-    let vanished: Vec<String> = self
+    let unlisted: Vec<String> = self
       .facts
       .range(Key::Listing(String::new()))
       .map_while(|(key, body)| match (key, body) {
-        (Key::Listing(id), Body::Listing(listed)) => Some((id, listed)),
+        (Key::Listing(id), Body::Listing(state)) => Some((id, state)),
         _ => None,
       })
-      .filter(|(id, listed)| {
-        **listed != MachineState::Gone && !entries.iter().any(|e| e.id == **id)
-      })
+      .filter(|(id, state)| **state != MachineState::Gone && !entries.iter().any(|e| e.id == **id))
       .map(|(id, _)| id.clone())
       .collect();
     let listed = entries.into_iter().map(|entry| (entry.id, entry.state));
-    let gone = vanished.into_iter().map(|id| (id, MachineState::Gone));
+    let gone = unlisted.into_iter().map(|id| (id, MachineState::Gone));
     for (id, state) in listed.chain(gone) {
       let key = Key::Listing(id.clone());
-      let known = matches!(self.facts.get(&key), Some((Body::Listing(held), _)) if *held == state);
-      if !known {
+      let is_current =
+        matches!(self.facts.get(&key), Some((Body::Listing(known), _)) if *known == state);
+      if !is_current {
         self.publish(key, Version(revision, 0), Body::Listing(state));
       }
     }
   }
 
-  fn seed(&mut self, id: &str, address: &str) {
-    let known = self.peer_address(id).is_some() || self.me.seeds.iter().any(|seed| seed == address);
-    if !known && id != self.me.instance {
+  fn add_seed(&mut self, id: &str, address: &str) {
+    let is_known =
+      self.peer_address(id).is_some() || self.me.seeds.iter().any(|seed| seed == address);
+    if !is_known && id != self.me.instance {
       self.me.seeds.push(address.into());
     }
   }
 
-  fn learn_placement(&mut self, model: &str, replicas: &[Replica]) {
+  fn apply_placement(&mut self, model: &str, replicas: &[Replica]) {
     for (server, id) in self.placed.remove(model).unwrap_or_default() {
       self.servers[server].decided.remove(&id);
     }
-    let owned = self.owned.contains_key(model);
+    let is_owned = self.owned.contains_key(model);
     let mut placed = Vec::new();
     for replica in replicas {
       let server = self.server(&replica.server);
@@ -168,58 +169,65 @@
         .decided
         .insert(replica.id, model.into());
       placed.push((server, replica.id));
-      if owned {
+      if is_owned {
         let group = self.group(model, &replica.policy);
         self.mark_active(group);
       }
     }
     self.placed.insert(model.into(), placed);
-    self.pump_waiting();
+    self.dispatch_waiting();
   }
 
-  /// Sends what waits, as far as something has become free.
-  fn pump_waiting(&mut self) {
-    let waiting = |key: &group::Key| !self.groups[*key].queue.is_empty();
-    let waiting: Vec<_> = self.active.iter().copied().filter(waiting).collect();
-    for key in waiting {
+  /// Dispatches queued requests as far as capacity has become free.
+  fn dispatch_waiting(&mut self) {
+    let has_queued = |key: &group::Key| !self.groups[*key].queue.is_empty();
+    let groups: Vec<_> = self.active.iter().copied().filter(has_queued).collect();
+    for key in groups {
       self.dispatch_queued(key);
     }
   }
 
-  /// Decides who of the fleet reads the platform, and starts or stops reading.
+  /// Decides whether this instance reads the platform for its availability zone, and starts or
+  /// stops reading.
   pub fn choose_watchers(&mut self) {
-    let seen = (self.members.epoch, self.configured);
-    if self.watchers_chosen_for == Some(seen) {
+    let chosen_for = (self.members.epoch, self.configured);
+    if self.watchers_chosen_for == Some(chosen_for) {
       return;
     }
-    self.watchers_chosen_for = Some(seen);
-    self.share_budget();
+    self.watchers_chosen_for = Some(chosen_for);
+    self.divide_call_budget();
     let me = &self.me.instance;
     let zone = self.zone_members();
-    let watch = zone.is_empty()
+    let is_watcher = zone.is_empty()
       || crate::rendezvous::is_top_ranked(&zone, &self.me.zone, me, WATCHERS_PER_ZONE)
       || !self.configured;
-    if watch != self.watching {
-      self.watching = watch;
-      self.emit(Effect::Watch(watch));
+    if is_watcher != self.watching {
+      self.watching = is_watcher;
+      self.emit(Effect::Watch(is_watcher));
     }
   }
 
-  /// Divides the platform's call budget among the live instances.
-  fn share_budget(&mut self) {
-    let live = self.members.live.len().max(1) as u32;
-    let rate = (self.limits.platform_budget / live).clamp(1, self.limits.platform_rate);
+  /// Divides the platform's call budget between the live instances.
+  fn divide_call_budget(&mut self) {
+    let instances = self.members.live.len().max(1) as u32;
+    let rate = (self.limits.platform_budget / instances).clamp(1, self.limits.platform_rate);
     self.emit(Effect::LimitPlatformRate(rate));
   }
 
   fn zone_members(&self) -> Vec<String> {
-    let same = |id: &&String| match self.facts.get(&Key::Member((*id).clone())) {
+    let in_own_zone = |id: &&String| match self.facts.get(&Key::Member((*id).clone())) {
       Some((Body::Member(member), _)) => member.zone == self.me.zone,
       _ => false,
     };
-    self.members.live.iter().filter(same).cloned().collect()
+    self
+      .members
+      .live
+      .iter()
+      .filter(in_own_zone)
+      .cloned()
+      .collect()
   }
 }
 
-/// Instances of an availability zone that read the platform for the others.
+/// Instances of an availability zone that read the platform on behalf of the others.
 pub const WATCHERS_PER_ZONE: usize = 2;
--- a/src/quotas.rs
+++ b/src/quotas.rs
@@ -1,9 +1,9 @@
-//! How quotas of customers and limits of servers are kept over all instances: each reports to the
-//! holder of the lease what it has used and needs, and gets back how far it may go.
+//! Enforces quotas of customers and limits of servers over all instances: each instance reports its
+//! usage and needs to the lease holder, and receives grants.
 //!
-//! The same answer confirms what an instance knows of keys: it names how far the holder has
-//! followed the deployment, as of the question. So a datagram that waited in the socket of a
-//! process that stood still makes no key look known.
+//! The holder's answer also confirms the API keys that an instance knows: it states the deployment
+//! revision that the holder has reached, as of the time of the report. So a datagram that waited in
+//! the socket of a suspended process does not make outdated keys look confirmed.
 
 use crate::{
   crash::permit,
@@ -20,90 +20,95 @@
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Uses are reported this often, ms, with up to 160 instances: what is granted ahead lasts for
-/// 1,500.
-const REPORT_MS: u64 = 500;
-/// And this much less often with each further one, ms: the holder answers each, and with 295
-/// instances would 1,200 times a second.
-const REPORT_INSTANCE_MS: u64 = 3;
-/// But so often at least, ms: what is known of keys counts for four seconds, and two reports
-/// may be lost. An instance without any use asks as often.
-const REPORT_MOST_MS: u64 = 1_000;
-/// Customers' standings are written down for operators this often, ms.
-const STANDINGS_MS: u64 = 1_000;
-/// A customer that used this part of its quota within a window is logged, and so many are
-/// looked at.
-const NEAR: f64 = 0.8;
-const NEAR_LINES: usize = 32;
-/// What customers used is published this often, ms.
-const SUMS_MS: u64 = 500;
-/// What the last holder published counts before what lies in the store for so long, ms.
+/// Minimum interval between reports, with up to 160 instances: units granted ahead last for
+/// 1,500 ms.
+const MIN_REPORT_INTERVAL_MS: u64 = 500;
+/// Report interval per instance: the holder answers each report, and with 295 instances would
+/// otherwise answer 1,200 times per second.
+const REPORT_INTERVAL_PER_INSTANCE_MS: u64 = 3;
+/// Maximum interval between reports, which also applies to an instance without any use: known keys
+/// stay valid for four seconds, and two reports may be lost.
+const MAX_REPORT_INTERVAL_MS: u64 = 1_000;
+/// Interval at which customers' standings are updated for operators.
+const STANDINGS_INTERVAL_MS: u64 = 1_000;
+/// Fraction of a window's quota from which a customer's usage is logged.
+const NEAR_QUOTA: f64 = 0.8;
+/// Number of customers that are checked for this.
+const MAX_NEAR_QUOTA_CHECKS: usize = 32;
+/// Interval at which sums of used units are published.
+const SUMS_INTERVAL_MS: u64 = 500;
+/// How long sums published by the last holder take precedence over those in the store.
 const SUMS_FRESH_MS: u64 = 10_000;
-/// The field of the lease's record that keeps it.
+/// Field of the lease's record that contains the sums.
 const SUMS_FIELD: &str = "sums";
 
-/// What customers may use, and servers in need may be sent.
+/// Allowances of customers, of permits and of servers with a limit.
 struct Allowances {
-  book: Option<Arc<Directory>>,
+  directory: Option<Arc<Directory>>,
   bound: Bound,
   limits: Limits,
 }
 
 impl Allowances {
   fn get(&self, id: Id) -> Option<Allowance> {
-    let customer = self.book.as_ref().and_then(|book| book.get(id));
-    let own = customer.map(|customer| {
+    let customer = self
+      .directory
+      .as_ref()
+      .and_then(|directory| directory.get(id));
+    let of_customer = customer.map(|customer| {
       let bound = self.bound;
       customer.quota.map(|quota| Allowance { quota, bound })
     });
-    own.unwrap_or_else(|| permit::allowance(id).or_else(|| self.limits.allowance(id)))
+    of_customer.unwrap_or_else(|| permit::allowance(id).or_else(|| self.limits.allowance(id)))
   }
 }
 
 impl Planner {
-  /// Reports what is used of quotas and needed, where that is due.
-  pub(crate) fn report_uses(&mut self, wanted: bool) {
+  /// Reports usage and needs if a report is due. `woken` means that units may be needed before
+  /// that.
+  pub(crate) fn report_uses(&mut self, woken: bool) {
     let now = self.hub.now();
-    let said = self.reported_statements.due().is_some_and(|due| now >= due);
-    if !wanted && !said && now < self.next_uses_report_at {
+    let statements_due = self.reported_statements.due().is_some_and(|due| now >= due);
+    if !woken && !statements_due && now < self.next_uses_report_at {
       return;
     }
-    let (uses, ask_at, limited, freed) = {
+    let (uses, next_request_at, has_limits, permits_released) = {
       let mut state = self.hub.state();
-      let freed = state.take_permits_released();
-      let keyed = state.deployment.as_ref();
-      let keyed = keyed.is_some_and(|deployment| deployment.customers.is_some());
-      let limited = state.limits.any();
-      let waits = freed || state.needs_units();
-      if !keyed && !limited && !waits && !said {
-        self.next_uses_report_at = now + REPORT_MOST_MS;
+      let permits_released = state.take_permits_released();
+      let deployment = state.deployment.as_ref();
+      let has_customers = deployment.is_some_and(|deployment| deployment.customers.is_some());
+      let has_limits = state.limits.any();
+      let has_unit_needs = permits_released || state.needs_units();
+      if !has_customers && !has_limits && !has_unit_needs && !statements_due {
+        self.next_uses_report_at = now + MAX_REPORT_INTERVAL_MS;
         return;
       }
       (
         state.uses(now),
         state.quotas().next_request_at(),
-        limited,
-        freed,
+        has_limits,
+        permits_released,
       )
     };
-    let needed = uses.iter().any(|one| one.need > 0);
-    if now < self.next_uses_report_at && !needed && !said && !freed {
+    let has_needs = uses.iter().any(|usage| usage.need > 0);
+    if now < self.next_uses_report_at && !has_needs && !statements_due && !permits_released {
       return;
     }
-    let pause = match uses.is_empty() && !limited {
-      true => REPORT_MOST_MS,
-      false => self.report_pause(),
+    let interval = match uses.is_empty() && !has_limits {
+      true => MAX_REPORT_INTERVAL_MS,
+      false => self.report_interval(),
     };
-    self.next_uses_report_at = match needed {
-      true => ask_at.max(now + 1),
-      false => now + pause,
+    self.next_uses_report_at = match has_needs {
+      true => next_request_at.max(now + 1),
+      false => now + interval,
     };
     self.send_uses(now, uses);
   }
 
-  fn report_pause(&self) -> u64 {
+  fn report_interval(&self) -> u64 {
     let instances = self.members.len() as u64;
-    (instances * REPORT_INSTANCE_MS).clamp(REPORT_MS, REPORT_MOST_MS)
+    (instances * REPORT_INTERVAL_PER_INSTANCE_MS)
+      .clamp(MIN_REPORT_INTERVAL_MS, MAX_REPORT_INTERVAL_MS)
   }
 
   fn send_uses(&mut self, now: u64, uses: Vec<Use>) {
@@ -112,11 +117,11 @@
       return;
     };
     if group.holds_lease {
-      let grants = self.account(now, self.own_address, self.process, &uses);
+      let grants = self.record_uses(now, self.own_address, self.process, &uses);
       let sent = now;
       self.hub.apply(Event::Granted { sent, grants }, None);
-      if let Some(book) = self.book() {
-        self.note_standings(now, &book);
+      if let Some(directory) = self.directory() {
+        self.update_standings(now, &directory);
       }
       return;
     }
@@ -136,41 +141,42 @@
     self.send(&Message::Uses(uses), &[holder]);
   }
 
-  fn account(&mut self, now: u64, from: SocketAddr, process: u64, uses: &[Use]) -> Vec<Grant> {
+  fn record_uses(&mut self, now: u64, from: SocketAddr, process: u64, uses: &[Use]) -> Vec<Grant> {
     let instance = xxh3_64_with_seed(from.to_string().as_bytes(), process);
     let allowances = self.allowances();
     let allow = |id| allowances.get(id);
     self.accounts.report(now, instance, uses, allow)
   }
 
-  /// Answers an instance that reports its uses.
+  /// Answers an instance's report with grants.
   pub(crate) fn receive_uses(&mut self, now: u64, uses: &Uses, from: SocketAddr) {
-    let holding = self.groups.first().is_some_and(|group| group.holds_lease);
-    if !holding {
+    let holds_lease = self.groups.first().is_some_and(|group| group.holds_lease);
+    if !holds_lease {
       return;
     }
-    // The units of a server that only this instance knows of are granted too.
+    // Applies the statements first, so that units of a server whose limit only that instance knows
+    // are granted too.
     self.hear_statements(uses.statements.clone());
-    let grants = self.account(now, from, uses.process, &uses.uses);
+    let grants = self.record_uses(now, from, uses.process, &uses.uses);
     let gate = &self.hub.gates.deployments;
-    let Some(sure) = gate.sure_age() else {
+    let Some(sure_age) = gate.sure_age() else {
       return;
     };
     let answer = Grants {
       sent: uses.sent,
       deployments: gate.progress(),
-      sure_ms: sure.as_millis() as u64,
+      sure_ms: sure_age.as_millis() as u64,
       grants,
     };
     self.send(&Message::Grants(answer), &[from]);
   }
 
-  /// Takes up the holder's answer.
+  /// Applies the holder's answer.
   pub(crate) fn receive_grants(&mut self, answer: Grants) {
     let gate = &self.hub.gates.deployments;
-    let asked = self.hub.instant(answer.sent);
+    let sent = self.hub.instant(answer.sent);
     gate.vouch(
-      asked,
+      sent,
       answer.deployments,
       Duration::from_millis(answer.sure_ms),
     );
@@ -181,22 +187,24 @@
     self.hub.apply(event, None);
   }
 
-  /// What was used of quotas within their last windows, as this holder counted it; none: it is
-  /// not due to be published. That nothing was used is published too: the next holder knows it.
+  /// Returns the units of quotas used within their last windows, as counted by this holder; `None`
+  /// if they are not due to be published. Empty sums are published too, so that the next holder
+  /// knows that nothing was used.
   pub(crate) fn due_sums(&mut self, now: u64) -> Option<Sums> {
     if now < self.next_sums_publish_at {
       return None;
     }
-    self.next_sums_publish_at = now + SUMS_MS;
+    self.next_sums_publish_at = now + SUMS_INTERVAL_MS;
     let allowances = self.allowances();
     Some(self.accounts.sums(now, |id| allowances.get(id)))
   }
 
-  /// Adds them to a record of the lease: after a loss of all instances nobody else knows them.
+  /// Adds the sums to a record of the lease: after a loss of all instances they are not known
+  /// anywhere else.
   pub(crate) fn with_sums(&mut self, now: u64, mut record: Value) -> Value {
     let allowances = self.allowances();
-    if allowances.book.is_none() {
-      // After a loss of all instances nobody knows of a server's limit, and it is named anew.
+    if allowances.directory.is_none() {
+      // After a loss of all instances no server's limit is known, and servers announce theirs again.
       return record;
     }
     let sums = self.accounts.sums(now, |id| allowances.get(id));
@@ -206,14 +214,14 @@
     record
   }
 
-  /// Takes up the sums in a record of the lease that was read, where the holder's own were not
-  /// heard lately.
+  /// Applies the sums in a record of the lease that was read, unless sums were received from a
+  /// holder recently.
   pub(crate) fn read_sums(&mut self, now: u64, record: &Value) {
-    let fresh = |(heard, _): &(u64, Sums)| now < heard + SUMS_FRESH_MS;
-    if self.known_sums.as_ref().is_some_and(fresh) {
+    let is_fresh = |(received_at, _): &(u64, Sums)| now < received_at + SUMS_FRESH_MS;
+    if self.known_sums.as_ref().is_some_and(is_fresh) {
       return;
     }
-    // A record of another writer, or of before, has none.
+    // A record of another writer or of an earlier release has no sums.
     let sums = record.get(SUMS_FIELD);
     let sums = sums.and_then(|sums| serde_json::from_value::<Sums>(sums.clone()).ok());
     if let Some(sums) = sums {
@@ -222,23 +230,23 @@
     }
   }
 
-  /// Opens the accounts of a holder that has taken the lease.
+  /// Creates the accounts of a holder that has acquired the lease.
   pub(crate) fn open_accounts(&mut self, now: u64, term: u64, first: bool) {
     if first {
-      // The first holder ever: nothing was used.
+      // Nothing was used before the very first holder.
       self.accounts = Accounts::default();
       return;
     }
     let known = self.known_sums.as_ref();
-    let sums = known.map(|(heard, sums)| (*heard, sums));
+    let sums = known.map(|(received_at, sums)| (*received_at, sums));
     info!(self.hub.log, "accounts opened"; "term" => term,
       "customers" => sums.map(|(_, sums)| sums.len()),
-      "age_ms" => sums.map(|(heard, _)| now.saturating_sub(heard)));
+      "age_ms" => sums.map(|(received_at, _)| now.saturating_sub(received_at)));
     let allowances = self.allowances();
     self.accounts = Accounts::new(now, sums, |id| allowances.get(id));
   }
 
-  fn book(&self) -> Option<Arc<Directory>> {
+  fn directory(&self) -> Option<Arc<Directory>> {
     let state = self.hub.state();
     state.deployment.as_ref()?.customers.clone()
   }
@@ -247,18 +255,18 @@
     let state = self.hub.state();
     let deployment = state.deployment.as_ref();
     Allowances {
-      book: deployment.and_then(|deployment| deployment.customers.clone()),
+      directory: deployment.and_then(|deployment| deployment.customers.clone()),
       bound: self.quota_bound,
       limits: state.limits.clone(),
     }
   }
 
-  fn note_standings(&mut self, now: u64, book: &Directory) {
+  fn update_standings(&mut self, now: u64, directory: &Directory) {
     if now < self.next_standings_write_at {
       return;
     }
-    self.next_standings_write_at = now + STANDINGS_MS;
-    let customers = book.all().iter();
+    self.next_standings_write_at = now + STANDINGS_INTERVAL_MS;
+    let customers = directory.all().iter();
     let accounts = &mut self.accounts;
     let standings: Vec<Standing> = customers
       .map(|customer| Standing {
@@ -267,17 +275,17 @@
         quota: customer.quota,
       })
       .collect();
-    for one in standings.iter().take(NEAR_LINES) {
-      let Some(quota) = one.quota else {
+    for standing in standings.iter().take(MAX_NEAR_QUOTA_CHECKS) {
+      let Some(quota) = standing.quota else {
         continue;
       };
       let allowed = self.quota_bound.window(&quota);
-      let name = &one.name;
-      let one = one.over_fleet;
-      if one.used >= allowed * NEAR {
+      let name = &standing.name;
+      let usage = standing.over_fleet;
+      if usage.used >= allowed * NEAR_QUOTA {
         info!(self.hub.log, "customer is near its quota"; "customer" => name,
-          "used" => one.used as u64, "allowed" => allowed as u64, "ahead" => one.ahead as u64,
-          "rate" => one.rate as u64);
+          "used" => usage.used as u64, "allowed" => allowed as u64, "ahead" => usage.ahead as u64,
+          "rate" => usage.rate as u64);
       }
     }
     *lock(&self.hub.standings) = standings;
