--- a/src/customer/mod.rs
+++ b/src/customer/mod.rs
@@ -138,6 +138,6 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Standing {
   pub name: String,
-  pub over_fleet: quota::Standing,
+  pub fleet_usage: quota::Standing,
   pub quota: Option<Quota>,
 }
--- a/src/health.rs
+++ b/src/health.rs
@@ -86,9 +86,7 @@
   let list = list.and_then(|deployment| deployment.customers.clone());
   let customers = list.iter().flat_map(|list| list.all());
   let customers = customers.map(|customer| {
-    let (used, left) = state
-      .quotas()
-      .standing(now, Id::for_customer(&customer.name));
+    let (used, left) = state.quotas().usage(now, Id::for_customer(&customer.name));
     json!({
       "name": customer.name, "keys": customer.keys.len(), "priority": customer.priority,
       "rate": customer.quota.map(|quota| quota.rate),
@@ -98,15 +96,15 @@
   let customers: Vec<Value> = customers.collect();
   let standings = lock(&hub.standings);
   let fleet = standings.iter().map(|standing| {
-    json!({ "name": standing.name, "used": standing.over_fleet.used,
-      "granted": standing.over_fleet.ahead, "rate": standing.over_fleet.rate })
+    json!({ "name": standing.name, "used": standing.fleet_usage.used,
+      "granted": standing.fleet_usage.ahead, "rate": standing.fleet_usage.rate })
   });
   let fleet: Vec<Value> = fleet.collect();
   let keys_age = hub.gates.deployments.sure_age();
   json!({
     "version": state.deployment.as_ref().map(|deployment| deployment.version),
     "keysAgeMs": keys_age.map(|age| age.as_millis() as u64),
-    "grantsAgeMs": state.quotas().age(now), "customers": customers, "fleet": fleet,
+    "grantsAgeMs": state.quotas().answer_age(now), "customers": customers, "fleet": fleet,
   })
   .to_string()
 }
--- a/src/quota/account.rs
+++ b/src/quota/account.rs
@@ -130,7 +130,7 @@
       .filter_map(|(id, account)| {
         let allowance = allow(*id)?;
         let sum = account.window.sum(now);
-        let fraction = sum / allowance.window().max(1.0);
+        let fraction = sum / allowance.window_units().max(1.0);
         let quarters = account.window.quarters(now);
         let quarters = quarters.map(|units| units.max(0.0) as u32);
         (sum >= 1.0).then_some((fraction, *id, quarters))
@@ -163,7 +163,7 @@
     let grants = uses.iter().filter_map(|reported| {
       let allowance = allow(reported.id)?;
       // Grants are whole units, so at least one unit is allowed.
-      let allowed = (allowance.window() * share).max(1.0);
+      let allowed = (allowance.window_units() * share).max(1.0);
       Some(self.process_use(now, instance, reported, (&allowance, allowed)))
     });
     grants.collect()
@@ -236,7 +236,7 @@
     let over_ms = match granted < need {
       true => account
         .window
-        .falls_by(now, need - granted - available.max(0.0) + granted),
+        .time_until_reduced(now, need - granted - available.max(0.0) + granted),
       false => 0,
     };
     Grant {
--- a/src/quota/mod.rs
+++ b/src/quota/mod.rs
@@ -88,8 +88,8 @@
 
 impl Allowance {
   /// Units allowed within one window.
-  pub fn window(&self) -> f64 {
-    self.bound.window(&self.quota)
+  pub fn window_units(&self) -> f64 {
+    self.bound.window_units(&self.quota)
   }
 
   /// Units that may be used within one window in addition to the quota.
@@ -100,13 +100,13 @@
 
 impl Bound {
   /// Units that a quota allows within one window.
-  pub fn window(&self, quota: &Quota) -> f64 {
+  pub fn window_units(&self, quota: &Quota) -> f64 {
     quota.rate * self.window_ms as f64 / 1_000.0 + quota.burst
   }
 
   /// Units that may be used within one window in addition to the quota.
   pub fn reserve(&self, quota: &Quota) -> f64 {
-    self.window(quota) * self.overage + self.slack
+    self.window_units(quota) * self.overage + self.slack
   }
 }
 
--- a/src/quota/purse.rs
+++ b/src/quota/purse.rs
@@ -192,11 +192,11 @@
       Some(fleet) => {
         let used = fleet.used(now, id, allowance.bound.window_ms);
         let reserve = allowance.reserve() * UNGRANTED_FRACTION;
-        allowance.window() + reserve - used - rate * UNKNOWN_USE_S
+        allowance.window_units() + reserve - used - rate * UNKNOWN_USE_S
       }
       // The usage before this instance started is unknown.
       None => allowance
-        .window()
+        .window_units()
         .min(rate * (now - self.first_used_at) as f64 / 1_000.0),
     };
     (remaining / instances.max(1) as f64 - ungranted).max(0.0)
@@ -296,7 +296,7 @@
   }
 
   /// Units used since the start, and units that remain of the grant.
-  pub fn standing(&self, now: u64, id: Id) -> (i64, i64) {
+  pub fn usage(&self, now: u64, id: Id) -> (i64, i64) {
     let balance = self.balances.get(&id);
     balance.map_or((0, 0), |balance| {
       (balance.used, balance.remaining(now).max(0))
@@ -304,7 +304,7 @@
   }
 
   /// Time since the holder's last answer, in ms; `None` if there was none.
-  pub fn age(&self, now: u64) -> Option<u64> {
+  pub fn answer_age(&self, now: u64) -> Option<u64> {
     self
       .last_answer
       .map(|(_, arrived)| now.saturating_sub(arrived))
--- a/src/quota/window.rs
+++ b/src/quota/window.rs
@@ -81,7 +81,7 @@
   }
 
   /// Time in ms until the sum has fallen by this number of units.
-  pub fn falls_by(&self, now: u64, units: f64) -> u64 {
+  pub fn time_until_reduced(&self, now: u64, units: f64) -> u64 {
     let mut left = units;
     for (slot, used) in &self.slots {
       left -= used;
--- a/src/quotas.rs
+++ b/src/quotas.rs
@@ -271,7 +271,7 @@
     let standings: Vec<Standing> = customers
       .map(|customer| Standing {
         name: customer.name.clone(),
-        over_fleet: accounts.standing(now, Id::for_customer(&customer.name)),
+        fleet_usage: accounts.standing(now, Id::for_customer(&customer.name)),
         quota: customer.quota,
       })
       .collect();
@@ -279,9 +279,9 @@
       let Some(quota) = standing.quota else {
         continue;
       };
-      let allowed = self.quota_bound.window(&quota);
+      let allowed = self.quota_bound.window_units(&quota);
       let name = &standing.name;
-      let usage = standing.over_fleet;
+      let usage = standing.fleet_usage;
       if usage.used >= allowed * NEAR_QUOTA {
         info!(self.hub.log, "customer is near its quota"; "customer" => name,
           "used" => usage.used as u64, "allowed" => allowed as u64, "ahead" => usage.ahead as u64,
--- a/tests/customers.rs
+++ b/tests/customers.rs
@@ -137,7 +137,7 @@
   window.add(2_000, 7.0);
   assert_eq!(window.sum(8_900), 12.0);
   assert_eq!(window.sum(9_300), 7.0);
-  assert!((700..=1_000).contains(&window.falls_by(9_300, 7.0)));
+  assert!((700..=1_000).contains(&window.time_until_reduced(9_300, 7.0)));
   assert_eq!(window.sum(20_000), 0.0);
   window.add_at(30_000, 25_000, 3.0);
   window.add(30_000, 4.0);
@@ -167,7 +167,7 @@
   assert!(matches!(spend(&mut purse, 1_030), Decision::Exceeded(_)));
   purse.refund(id, 400);
   assert_eq!(spend(&mut purse, 1_050), Decision::Granted);
-  assert_eq!(purse.standing(1_050, id), (400, 100));
+  assert_eq!(purse.usage(1_050, id), (400, 100));
   // Its grant is over.
   purse.refund(id, 400);
   assert_ne!(spend(&mut purse, 3_060), Decision::Granted);
--- a/tests/fleet_quota/mod.rs
+++ b/tests/fleet_quota/mod.rs
@@ -356,11 +356,11 @@
       ..Outcome::default()
     };
     for (customer, (_, quota)) in self.customers.iter().enumerate() {
-      let allowed = BOUND.window(quota) + BOUND.reserve(quota);
+      let allowed = BOUND.window_units(quota) + BOUND.reserve(quota);
       let ran = &mut self.ran[customer];
       ran.sort_unstable();
       outcome.worst = outcome.worst.max(most(ran) / allowed);
-      let (within, refused) = kept(&self.sent[customer], BOUND.window(quota));
+      let (within, refused) = kept(&self.sent[customer], BOUND.window_units(quota));
       outcome.within += within;
       outcome.refused += refused;
     }
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -289,7 +289,7 @@
   fn a_window_holds_a_request(rate: f64) -> bool {
     let rate = rate.abs();
     let allowed = allowance(if rate.is_finite() { rate } else { 0.0 });
-    allowed.window() >= 1.0 && allowed.bound.window_ms == WINDOW_MS
+    allowed.window_units() >= 1.0 && allowed.bound.window_ms == WINDOW_MS
   }
 }
 
@@ -408,5 +408,5 @@
   assert_eq!(sent(&effects), Some(("two".to_string(), true)));
   // It did not get there: the unit is free for the next one.
   let effects = state.reduce(30, ended(broken, End::Unreached));
-  assert_eq!(state.quotas().standing(30, two).1, 1, "{effects:?}");
+  assert_eq!(state.quotas().usage(30, two).1, 1, "{effects:?}");
 }
