--- a/src/limit/selection.rs
+++ b/src/limit/selection.rs
@@ -108,9 +108,10 @@
     }
   }
 
-  /// Handles a request whose candidates are all at their limits: it waits if its model will be
-  /// loaded elsewhere in time, and is refused immediately otherwise. A request that may already have
-  /// run waits for a unit until its caller's deadline, because no other server could continue it.
+  /// Handles a request whose candidates are all at their limits: it waits if another server has no
+  /// limit or its model will be loaded elsewhere in time, and is refused immediately otherwise. A
+  /// request that may already have run waits for a unit as long as its caller does, because no other
+  /// server could continue it.
   pub(crate) fn wait_or_refuse(&mut self, ticket: Ticket, after: u64) {
     let Some(request) = self.requests.get(&ticket).cloned() else {
       return;
--- a/src/quota/account.rs
+++ b/src/quota/account.rs
@@ -38,7 +38,7 @@
 struct Account {
   /// Units granted, and units used without a grant.
   window: Window,
-  /// Units granted ahead and not used yet, over all instances.
+  /// Units granted and not used yet, over all instances.
   ahead: f64,
   /// Moving average of the units that reports request.
   typical_need: f64,
@@ -71,7 +71,7 @@
 pub struct Standing {
   /// Units used or granted within the window.
   pub used: f64,
-  /// Units granted ahead to instances and not used yet.
+  /// Units granted to instances and not used yet.
   pub ahead: f64,
   /// Moving average in units per second.
   pub rate: f64,
