--- a/src/cold.rs
+++ b/src/cold.rs
@@ -147,7 +147,7 @@
     let until = self.holdings_valid_until();
     let is_eligible = |backend: &&Backend| {
       !self.has_limit(backend)
-        && !self.rests(backend)
+        && !self.is_backing_off(backend)
         && !backend.holds(&model.name, None, until, self.now)
     };
     self.ready_at(request, is_eligible)
--- a/src/dispatch.rs
+++ b/src/dispatch.rs
@@ -23,7 +23,7 @@
   request::Ticket,
   restored::Restored,
   retry::{Bound, Budget},
-  statement::{Leaving, Rests},
+  statement::{Backoffs, Leaving},
   strain::Totals,
   verdict::Verdict,
 };
@@ -124,7 +124,7 @@
   /// What servers stated in their responses: limits, whether they are leaving, and backoffs.
   pub(crate) limits: Limits,
   pub(crate) leaving: Leaving,
-  pub(crate) backoffs: Rests,
+  pub(crate) backoffs: Backoffs,
   /// Quota units that this instance may use.
   pub(crate) quotas: Balances,
   /// The bound on customers' quotas that all instances together keep.
@@ -169,7 +169,7 @@
       crash_filter: Filter::default(),
       limits: Limits::default(),
       leaving: Leaving::default(),
-      backoffs: Rests::default(),
+      backoffs: Backoffs::default(),
       quotas: Balances::new(seed),
       quota_bound: quota::DEFAULT_BOUND,
       fair_queue: Scheduler::default(),
@@ -235,10 +235,10 @@
         self.dispatch_waiting();
       }
       Event::LimitAnnounced { ticket, rate } => self.record_announced_limit(ticket, rate),
-      Event::Statements(statements) => self.hear_statements(&statements),
-      Event::Leaving(server) => self.hear_leaving(server, now, true),
-      Event::Backoff { server, backoff_ms } => self.hear_rest(server, backoff_ms),
-      Event::TrialAccepted(server) => self.took(server),
+      Event::Statements(statements) => self.receive_statements(&statements),
+      Event::Leaving(server) => self.receive_leaving(server, now, true),
+      Event::Backoff { server, backoff_ms } => self.receive_backoff(server, backoff_ms),
+      Event::TrialAccepted(server) => self.record_trial_accepted(server),
       Event::Suspected(entries) => self.crash_filter.update_suspects(now, &entries),
       Event::Stopping(accept_until, refuse_waiting_at) => {
         self.accept_until = accept_until;
@@ -540,7 +540,7 @@
     if self.failed_everywhere(&request) {
       return self.refuse(ticket, Reason::ServerFailed);
     }
-    if let Some(retry_after) = self.after_rest_ms(&request) {
+    if let Some(retry_after) = self.retry_after_backoff_ms(&request) {
       self.add_deferral(&request.descriptor, retry_after);
       self.out.push(Effect::ReportDemand);
       return self.refuse_with_retry_after(ticket, Reason::ServerRest, retry_after);
@@ -594,7 +594,7 @@
       *self.running.entry((key, model.clone())).or_default() += 1;
     }
     let limited = self.limits.rate(backend.spec.life()).is_some();
-    let trial = self.backoffs.send(backend.spec.life(), self.now);
+    let trial = self.backoffs.record_send(backend.spec.life(), self.now);
     let missing_since = backend.missing_since;
     let attempt = Attempt {
       ticket,
--- a/src/dispatch/choice.rs
+++ b/src/dispatch/choice.rs
@@ -25,7 +25,7 @@
     for (key, backend) in &self.backends {
       let fits = backend.spec.pool == descriptor.pool
         && backend.is_usable(self.now)
-        && self.is_open(backend)
+        && self.accepts_requests(backend)
         && !request.tried.contains(&key)
         && self.holds_model(backend, descriptor);
       if fits {
--- a/src/dispatch/ending.rs
+++ b/src/dispatch/ending.rs
@@ -170,7 +170,7 @@
     if request.is_some_and(quarantined) || backend.is_none_or(Backend::is_leaving) {
       return Some(End::Leaving);
     }
-    let backing_off = backend.is_some_and(|backend| self.rests(backend));
+    let backing_off = backend.is_some_and(|backend| self.is_backing_off(backend));
     backing_off.then_some(End::Resting)
   }
 
--- a/src/entry.rs
+++ b/src/entry.rs
@@ -7,7 +7,7 @@
   http::{Decoder, Error, Framing, Headers, Request, Response},
   hub::{Hub, Mailbox},
   refusal::{Reason, Refusal},
-  relay::{self, Incoming, Then},
+  relay::{self, Disposition, Incoming},
   route::{self, Route},
   socket::{Fill, Interest, Socket, wait},
   verdict::Verdict,
@@ -107,7 +107,7 @@
   };
   if let Ok(mut socket) = Socket::accept(stream) {
     // Best effort: the connection is closed even if the caller does not accept this response.
-    let _ = socket.try_write(&relay::refusal_answer(&refusal, false));
+    let _ = socket.try_write(&relay::encode_refusal(&refusal, false));
   }
 }
 
@@ -125,9 +125,9 @@
         let next = respond(hub, &mailbox, &mut socket, head, body, arrived);
         hub.active.fetch_sub(1, Ordering::Relaxed);
         match next {
-          Then::Keep => {}
-          Then::Close => return close(socket),
-          Then::Reset => return reset(hub, socket),
+          Disposition::Keep => {}
+          Disposition::Close => return close(socket),
+          Disposition::Reset => return reset(hub, socket),
         }
       }
       Ok(None) | Err(ReadError::Closed) => return,
@@ -301,7 +301,7 @@
   head: Request,
   body: Vec<u8>,
   arrived: u64,
-) -> Then {
+) -> Disposition {
   let deployment = known_deployment(hub);
   let keep_alive = head.keep_alive();
   let Some(deployment) = deployment else {
@@ -314,7 +314,7 @@
       "reason" => refusal.reason.as_str(), "why" => "no configuration is known");
     return write_response(
       socket,
-      &relay::refusal_answer(&refusal, keep_alive),
+      &relay::encode_refusal(&refusal, keep_alive),
       keep_alive,
     );
   };
@@ -331,11 +331,11 @@
       info!(hub.log, "refused"; "request" => head.headers.get(hub.dialect.request_id),
         "route" => &route.name, "reason" => refusal.reason.as_str(), "verdict" => "not-run",
         "version" => deployment.version, "waited_ms" => 0,
-        "keys_age_ms" => hub.gates.deployments.sure_age().map(|age| age.as_millis() as u64));
+        "keys_age_ms" => hub.gates.deployments.guaranteed_age().map(|age| age.as_millis() as u64));
       hub.measures.record_refusal(&refusal);
       return write_response(
         socket,
-        &relay::refusal_answer(&refusal, keep_alive),
+        &relay::encode_refusal(&refusal, keep_alive),
         keep_alive,
       );
     }
@@ -344,7 +344,7 @@
     route: route.clone(),
     head,
     body,
-    arrived,
+    arrived_at: arrived,
     caller,
   };
   relay::serve(hub, mailbox, socket, &incoming)
@@ -380,11 +380,11 @@
   })
 }
 
-fn write_response(socket: &mut Socket, response: &[u8], keep_alive: bool) -> Then {
+fn write_response(socket: &mut Socket, response: &[u8], keep_alive: bool) -> Disposition {
   let written = socket.write_all(response, Moment::now() + RESPONSE_TIMEOUT);
   match keep_alive && written.is_ok() {
-    true => Then::Keep,
-    false => Then::Close,
+    true => Disposition::Keep,
+    false => Disposition::Close,
   }
 }
 
--- a/src/exchange.rs
+++ b/src/exchange.rs
@@ -51,11 +51,15 @@
       return;
     }
     if successor {
-      self.report_leaving(now);
+      self.resend_leaving(now);
     }
     let group = &mut self.groups[update.group as usize];
-    self.hub.gates.deployments.follow(update.deployments);
-    self.hub.gates.servers.follow(update.servers);
+    self
+      .hub
+      .gates
+      .deployments
+      .receive_progress(update.deployments);
+    self.hub.gates.servers.receive_progress(update.servers);
     let fit = group.position.advance(term, update.since, update.latest);
     // The next report requests the missing changes.
     self.needs_resync |= fit == Fit::Gap;
@@ -143,7 +147,7 @@
   pub(crate) fn publish_changes(&mut self) {
     let now = self.hub.now();
     for kind in [Kind::Deployments, Kind::Servers] {
-      let batches = self.gate(kind).published();
+      let batches = self.gate(kind).take_published();
       if batches.is_empty() {
         continue;
       }
@@ -203,7 +207,7 @@
       demand: state.demand(now),
       running: running.collect(),
       missing: state.missing(now),
-      resting: state.resting(now),
+      resting: state.servers_backing_off(now),
       strain,
       known: self
         .groups
@@ -295,7 +299,7 @@
     };
     self.send_parts(header, update, &others);
     if extended {
-      let statements = self.hub.state().statements(now);
+      let statements = self.hub.state().all_statements(now);
       self.publish_statements(statements, &others);
       self.republish_suspects(now, &others);
     }
--- a/src/expiry.rs
+++ b/src/expiry.rs
@@ -1,7 +1,7 @@
 //! Determines which missing entries of backend servers may have expired because of an outage of the
 //! platform's store, and how long they may take to reappear.
 
-use crate::{feed::SILENT, reachability::Outage};
+use crate::{feed::OUTAGE_THRESHOLD, reachability::Outage};
 use std::time::Duration;
 
 /// How long entries that expired in an outage may take to reappear once the store responds to any
@@ -45,7 +45,7 @@
       .lost_since
       .take()
       .map_or(0, |since| now.saturating_sub(since));
-    let long = outage.length >= SILENT;
+    let long = outage.length >= OUTAGE_THRESHOLD;
     self.may_have_expired |= long;
     // Entries still missing from an earlier outage had no time to reappear.
     if long || missing && unreachable_ms >= MISSED_HEARTBEAT_MS {
--- a/src/feed/gate.rs
+++ b/src/feed/gate.rs
@@ -146,7 +146,7 @@
 
 impl Gate {
   /// A gate of an instance that hears of the store's answers also otherwise.
-  pub fn open(contact: Arc<Reachability>) -> Self {
+  pub fn new(contact: Arc<Reachability>) -> Self {
     Self {
       contact,
       ..Self::default()
@@ -154,7 +154,7 @@
   }
 
   /// Rings `bell` when there is something to publish.
-  pub fn ring(&self, bell: Arc<Waker>) {
+  pub fn set_waker(&self, bell: Arc<Waker>) {
     // The first one stays.
     let _ = self.bell.set(bell);
   }
@@ -172,7 +172,7 @@
   }
 
   /// Takes up another instance's progress.
-  pub fn follow(&self, progress: Progress) {
+  pub fn receive_progress(&self, progress: Progress) {
     let mut state = lock(&self.state);
     if progress.revision.era < state.revision.era {
       // It does not know yet that the store came back from a copy.
@@ -201,7 +201,7 @@
 
   /// Takes up another instance's answer to a question that was asked at a moment: how far it
   /// has followed, and since when it surely knows all changes.
-  pub fn vouch(&self, asked: Moment, progress: Progress, sure_age: Duration) {
+  pub fn record_peer_confirmation(&self, asked: Moment, progress: Progress, sure_age: Duration) {
     let mut state = lock(&self.state);
     let Some(sure) = asked.checked_sub(sure_age) else {
       return;
@@ -212,12 +212,12 @@
   }
 
   /// Since the moment as of which everything is surely known here; none: nothing is.
-  pub fn sure_age(&self) -> Option<Duration> {
+  pub fn guaranteed_age(&self) -> Option<Duration> {
     lock(&self.state).sure.map(|sure| sure.elapsed())
   }
 
   /// Whether others go by this instance's progress.
-  pub fn lead(&self, leads: bool) {
+  pub fn set_leading(&self, leads: bool) {
     let mut state = lock(&self.state);
     if state.leads != leads {
       state.leads = leads;
@@ -236,7 +236,7 @@
   }
 
   /// Takes up changes that the instance that watches for this one has read.
-  pub fn offer(&self, batch: Batch) {
+  pub fn receive_batch(&self, batch: Batch) {
     let mut state = lock(&self.state);
     if state.leads {
       return;
@@ -249,7 +249,7 @@
   }
 
   /// Changes read here that other instances have not been sent.
-  pub fn published(&self) -> Vec<Batch> {
+  pub fn take_published(&self) -> Vec<Batch> {
     std::mem::take(&mut lock(&self.state).published)
   }
 
--- a/src/feed/mod.rs
+++ b/src/feed/mod.rs
@@ -27,7 +27,7 @@
 /// The store was silent when calls failed and nothing was heard of it for this long: shorter
 /// than the three heartbeats, of a bit more than a second each, after which entries of
 /// servers lapse.
-pub const SILENT: Duration = Duration::from_millis(3_100);
+pub const OUTAGE_THRESHOLD: Duration = Duration::from_millis(3_100);
 /// Pause after changes, so that changes made together come in one answer: 69 instances that
 /// watch by themselves made 6,390 calls in a day with 150 ms, 4,359 with 250 ms.
 const GATHER: Duration = Duration::from_millis(400);
@@ -49,26 +49,26 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
   /// All objects there are.
-  All(Vec<Object>),
+  Listed(Vec<Object>),
   /// Objects that changed, and whether each was removed.
-  Some(Vec<(Object, bool)>),
+  Changed(Vec<(Object, bool)>),
   /// The store does not answer; what is known may be old.
-  Lost,
+  Unreachable,
   /// It answers again.
-  Back(Outage),
+  Reachable(Outage),
   /// It came back from an older copy: all objects that follow may be older than those known.
-  Returned,
+  Restored,
   /// All that the store had acknowledged when it was back has been given.
-  Current,
+  CaughtUp,
 }
 
 impl Event {
   /// Objects that it brings.
   fn count(&self) -> usize {
     match self {
-      Self::All(objects) => objects.len(),
-      Self::Some(objects) => objects.len(),
-      Self::Lost | Self::Back(_) | Self::Returned | Self::Current => 0,
+      Self::Listed(objects) => objects.len(),
+      Self::Changed(objects) => objects.len(),
+      Self::Unreachable | Self::Reachable(_) | Self::Restored | Self::CaughtUp => 0,
     }
   }
 }
@@ -170,9 +170,9 @@
     let (count, age) = (objects.len(), self.gate.age());
     let known = |back: &Moment| age.is_some_and(|age| age <= back.elapsed());
     if self.back.take_if(|back| known(back)).is_some() {
-      (self.take)(Event::Current);
+      (self.take)(Event::CaughtUp);
     }
-    let matters = !objects.is_empty() && (self.take)(Event::Some(objects));
+    let matters = !objects.is_empty() && (self.take)(Event::Changed(objects));
     if matters {
       note(self.log, self.kind, "batch", (batch.revision, count), age);
     }
@@ -189,7 +189,7 @@
         self.fail("list", began, &error);
       }
       Ok((objects, revision)) => self.answered(Answered {
-        event: Event::All(objects),
+        event: Event::Listed(objects),
         revision,
         confirmed: began,
         began,
@@ -221,7 +221,7 @@
           Duration::ZERO
         };
         self.answered(Answered {
-          event: Event::Some(changes.objects),
+          event: Event::Changed(changes.objects),
           revision: changes.revision,
           confirmed: Moment::now().min(began + waited),
           began,
@@ -245,19 +245,19 @@
     if returned {
       info!(self.log, "store is back from a copy"; "kind" => self.kind,
         "known" => %after, "revision" => %revision);
-      (self.take)(Event::Returned);
+      (self.take)(Event::Restored);
     }
-    let empty = matches!(&event, Event::Some(objects) if objects.is_empty());
+    let empty = matches!(&event, Event::Changed(objects) if objects.is_empty());
     let read = match &event {
-      Event::Some(objects) if !empty => Some(self.needed(objects)),
+      Event::Changed(objects) if !empty => Some(self.needed(objects)),
       _ => None,
     };
     let count = event.count();
     // A list does not show what has changed and changed back since others read.
-    let listed = matches!(&event, Event::All(_)) && self.gate.leads();
+    let listed = matches!(&event, Event::Listed(_)) && self.gate.leads();
     let matters = !empty && (self.take)(event) || listed;
     if self.back.take().is_some() || returned {
-      (self.take)(Event::Current);
+      (self.take)(Event::CaughtUp);
     }
     if matters {
       note(
@@ -322,7 +322,7 @@
       "revision" => self.from.map(|from| from.to_string()), "silent_ms" => silence.length.as_millis() as u64,
       "over_ms" => silence.since_recovery.as_millis() as u64,
       "failed_ms" => silence.since_failure.as_millis() as u64);
-    (self.take)(Event::Back(silence));
+    (self.take)(Event::Reachable(silence));
     self.back = Some(Moment::now());
     self.failures = 0;
   }
@@ -342,7 +342,7 @@
       self.lost = Some(began);
       warn!(self.log, "store is lost"; "kind" => self.kind, "error" => %error,
         "revision" => self.from.map(|from| from.to_string()));
-      (self.take)(Event::Lost);
+      (self.take)(Event::Unreachable);
     }
     if self.failures.is_multiple_of(FAILURES_LOGGED) {
       info!(self.log, "call failed"; "kind" => self.kind, "call" => call, "error" => %error,
--- a/src/health.rs
+++ b/src/health.rs
@@ -100,7 +100,7 @@
       "granted": standing.fleet_usage.ahead, "rate": standing.fleet_usage.rate })
   });
   let fleet: Vec<Value> = fleet.collect();
-  let keys_age = hub.gates.deployments.sure_age();
+  let keys_age = hub.gates.deployments.guaranteed_age();
   json!({
     "version": state.deployment.as_ref().map(|deployment| deployment.version),
     "keysAgeMs": keys_age.map(|age| age.as_millis() as u64),
--- a/src/hub.rs
+++ b/src/hub.rs
@@ -77,8 +77,8 @@
   fn new() -> Self {
     let reachability = Arc::new(Reachability::default());
     Self {
-      deployments: Gate::open(reachability.clone()),
-      servers: Gate::open(reachability.clone()),
+      deployments: Gate::new(reachability.clone()),
+      servers: Gate::new(reachability.clone()),
       reachability,
     }
   }
@@ -141,7 +141,7 @@
   /// Whether the known keys are recent enough to be trusted.
   pub fn keys_fresh(&self) -> bool {
     let max_age_ms = self.max_key_age_ms.load(Ordering::Relaxed);
-    let age = self.gates.deployments.sure_age();
+    let age = self.gates.deployments.guaranteed_age();
     max_age_ms == u64::MAX || age.is_some_and(|age| age.as_millis() < u128::from(max_age_ms))
   }
 
--- a/src/limit/mod.rs
+++ b/src/limit/mod.rs
@@ -19,7 +19,7 @@
 use crate::{
   life::Life,
   quota::{Allowance, Bound, Id, Quota},
-  statement::{Content, KEPT_MS, Statement, age_ms},
+  statement::{Content, RETENTION_MS, Statement, age_ms},
 };
 use std::collections::BTreeMap;
 
@@ -160,7 +160,7 @@
   pub fn prune(&mut self, now: u64, exists: impl Fn(Life) -> bool) {
     self
       .latest
-      .retain(|server, limit| exists(*server) || now < limit.at + KEPT_MS);
+      .retain(|server, limit| exists(*server) || now < limit.at + RETENTION_MS);
     let latest = &self.latest;
     self.ids.retain(|_, server| latest.contains_key(server));
   }
--- a/src/listing.rs
+++ b/src/listing.rs
@@ -54,7 +54,7 @@
 
   fn upsert(&mut self, spec: Spec) {
     if spec.stage == Stage::Draining {
-      self.read_leaving(spec.life());
+      self.record_leaving_entry(spec.life());
     }
     let known = self.by_id.get(&spec.id);
     let known = known.map(|key| self.backends[*key].spec.life());
--- a/src/planner.rs
+++ b/src/planner.rs
@@ -245,8 +245,8 @@
     next_sums_publish_at: 0,
     buffer: vec![0; MAX_DATAGRAM_BYTES],
   };
-  hub.gates.deployments.ring(planner.waker.clone());
-  hub.gates.servers.ring(planner.waker.clone());
+  hub.gates.deployments.set_waker(planner.waker.clone());
+  hub.gates.servers.set_waker(planner.waker.clone());
   let builder = thread::Builder::new().name("planner".into());
   builder.spawn(move || planner.run())?;
   Ok(address)
@@ -315,7 +315,7 @@
       self.poll_leases();
       self.read_policies();
       self.sync_quarantine();
-      self.statements();
+      self.exchange_statements();
       self.report_uses(report_requested);
       self.report(report_requested);
       self.publish_changes();
@@ -389,13 +389,13 @@
         Ok(Message::PromiseRequest(index, request)) => {
           self.answer_promise_request(now, index, request, from)
         }
-        Ok(Message::Changes(kind, batch)) => self.gate(kind).offer(batch),
+        Ok(Message::Changes(kind, batch)) => self.gate(kind).receive_batch(batch),
         Ok(Message::Crashes(crashes)) => self.receive_crashes(now, &crashes),
         Ok(Message::Quarantine(entries)) => self.receive_quarantine(now, &entries, from),
         Ok(Message::Suspects(entries)) => self.hub.apply(Event::Suspected(entries), None),
         Ok(Message::Uses(uses)) => self.receive_uses(now, &uses, from),
         Ok(Message::Grants(answer)) => self.receive_grants(answer),
-        Ok(Message::Statements(statements)) => self.hear_statements(statements),
+        Ok(Message::Statements(statements)) => self.receive_statements(statements),
         Ok(Message::Promise(index, promise, store_ms)) => {
           self.receive_store_age(store_ms);
           let group = self.groups.get_mut(index as usize);
@@ -417,7 +417,9 @@
       match completion {
         Completion::Lease(index, call, result) => self.finish_lease_call(now, index, &call, result),
         Completion::Ordered(index, command, reply) => {
-          self.hub.hear(command.life(), &command.id, &reply.said);
+          self
+            .hub
+            .apply_hints(command.life(), &command.id, &reply.hints);
           let taken = reply.outcome;
           info!(self.hub.log, "ordered"; "server" => &command.id,
             "act" => format!("{:?}", command.act), "model" => &command.model.name,
@@ -433,7 +435,7 @@
         Completion::Queried(index, id, reply) => {
           let inventory = reply.outcome;
           let life = self.life_of(&id, &inventory);
-          self.hub.hear(life, &id, &reply.said);
+          self.hub.apply_hints(life, &id, &reply.hints);
           if let Err(error) = &inventory {
             info!(self.hub.log, "server returned no inventory"; "server" => &id,
               "why" => format!("{error:?}"));
@@ -521,8 +523,8 @@
       self.request_promises(now, index);
     }
     let holds_any = self.groups.iter().any(|group| group.holds_lease);
-    self.hub.gates.deployments.lead(holds_any);
-    self.hub.gates.servers.lead(holds_any);
+    self.hub.gates.deployments.set_leading(holds_any);
+    self.hub.gates.servers.set_leading(holds_any);
   }
 
   /// Reads the operators' policies at intervals while this instance holds a lease.
--- a/src/quotas.rs
+++ b/src/quotas.rs
@@ -156,10 +156,10 @@
     }
     // Applies the statements first, so that units of a server whose limit only that instance knows
     // are granted too.
-    self.hear_statements(uses.statements.clone());
+    self.receive_statements(uses.statements.clone());
     let grants = self.record_uses(now, from, uses.process, &uses.uses);
     let gate = &self.hub.gates.deployments;
-    let Some(sure_age) = gate.sure_age() else {
+    let Some(sure_age) = gate.guaranteed_age() else {
       return;
     };
     let answer = Grants {
@@ -175,7 +175,7 @@
   pub(crate) fn receive_grants(&mut self, answer: Grants) {
     let gate = &self.hub.gates.deployments;
     let sent = self.hub.instant(answer.sent);
-    gate.vouch(
+    gate.record_peer_confirmation(
       sent,
       answer.deployments,
       Duration::from_millis(answer.sure_ms),
--- a/src/relay/caller.rs
+++ b/src/relay/caller.rs
@@ -1,6 +1,6 @@
 //! The caller's side: waiting beside it, and writing an answer to it.
 
-use super::{Outcome, Relay, Then, outcome, refusal_answer};
+use super::{Disposition, Outcome, Relay, encode_refusal, outcome};
 use crate::{
   clock::Moment,
   dispatch::End,
@@ -54,7 +54,7 @@
   }
 
   fn keeps(&self) -> bool {
-    self.then == Then::Keep
+    self.then == Disposition::Keep
   }
 
   pub(super) fn give(&mut self, head: &Response, bytes: Vec<u8>) -> Result<(), Outcome> {
@@ -95,7 +95,7 @@
       answer = head.encode(framing, self.keeps());
       self.begun = Some(framing);
       if framing == Framing::Close {
-        self.then = Then::Close;
+        self.then = Disposition::Close;
       }
     }
     match self.begun {
@@ -124,7 +124,7 @@
   fn write_caller(&mut self, bytes: &[u8]) -> Result<(), Outcome> {
     let until = Moment::now() + CALLER_STALL;
     self.caller.write_all(bytes, until).map_err(|_| {
-      self.then = Then::Close;
+      self.then = Disposition::Close;
       outcome(End::Left, "caller does not read")
     })
   }
@@ -135,24 +135,24 @@
     info!(self.hub.log, "refused"; "request" => &self.id, "route" => &self.incoming.route.name,
       "reason" => refusal.reason.as_str(), "verdict" => refusal.verdict.as_str(),
       "model" => self.model(), "begun" => self.begun.is_some(),
-      "waited_ms" => self.hub.now() - self.incoming.arrived);
+      "waited_ms" => self.hub.now() - self.incoming.arrived_at);
     if self.begun.is_some() {
       // An answer that ends early must not look whole.
       self.then = match self.begun {
-        Some(Framing::Close) => Then::Reset,
-        _ => Then::Close,
+        Some(Framing::Close) => Disposition::Reset,
+        _ => Disposition::Close,
       };
       return;
     }
     let written = match self.held.take() {
       Some((head, bytes)) => self.give(&head, bytes),
       None => {
-        let answer = refusal_answer(&refusal, self.keeps());
+        let answer = encode_refusal(&refusal, self.keeps());
         self.write_caller(&answer)
       }
     };
     if written.is_err() {
-      self.then = Then::Close;
+      self.then = Disposition::Close;
     }
   }
 }
--- a/src/relay/mod.rs
+++ b/src/relay/mod.rs
@@ -5,7 +5,7 @@
 mod refusal;
 mod send;
 
-pub use refusal::refusal_answer;
+pub use refusal::encode_refusal;
 
 use crate::{
   content,
@@ -20,7 +20,7 @@
   route::Route,
   socket::Socket,
   sse::Parser,
-  statement::Said,
+  statement::Hints,
   verdict::Verdict,
 };
 use slog::info;
@@ -45,7 +45,7 @@
   pub body: Vec<u8>,
   pub route: Arc<Route>,
   /// When its first byte was read, ms.
-  pub arrived: u64,
+  pub arrived_at: u64,
   /// Who sent it, where customers are known.
   pub caller: Option<Caller>,
 }
@@ -69,11 +69,11 @@
   event_ms: u64,
   pause_ms: u64,
   /// What the last answer said of its server, and when its head came, ms.
-  said: Said,
+  said: Hints,
   head_ms: Option<u64>,
   /// A server's failure, given to the caller when nothing better comes.
   held: Option<(Response, Vec<u8>)>,
-  then: Then,
+  then: Disposition,
 }
 
 /// What came of a send, with why.
@@ -102,7 +102,7 @@
 
 /// What becomes of a caller's connection after an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Then {
+pub enum Disposition {
   /// It can carry another request.
   Keep,
   Close,
@@ -111,14 +111,19 @@
 }
 
 /// Answers a request.
-pub fn serve(hub: &Hub, mailbox: &Arc<Mailbox>, caller: &mut Socket, incoming: &Incoming) -> Then {
+pub fn serve(
+  hub: &Hub,
+  mailbox: &Arc<Mailbox>,
+  caller: &mut Socket,
+  incoming: &Incoming,
+) -> Disposition {
   let dialect = &hub.dialect;
   let header = |name: &str| incoming.head.headers.get(name);
   let id = header(dialect.request_id).unwrap_or_default().to_string();
   let asked = header(dialect.deadline_ms).and_then(|text| text.parse::<f64>().ok());
   let timeout = incoming.route.timeout_ms;
   let allowed = asked.map_or(timeout, |ms| (ms.max(0.0) as u64).min(timeout));
-  let until = incoming.arrived + allowed.saturating_sub(ANSWER_MS);
+  let until = incoming.arrived_at + allowed.saturating_sub(ANSWER_MS);
   let model = header(dialect.model).map(Model::parse);
   let ticket = hub.ticket(mailbox);
   let content = content::Key::of(&incoming.head, &incoming.body);
@@ -149,10 +154,14 @@
     waited: false,
     event_ms: 0,
     pause_ms: 0,
-    said: Said::default(),
+    said: Hints::default(),
     head_ms: None,
     held: None,
-    then: if keep { Then::Keep } else { Then::Close },
+    then: if keep {
+      Disposition::Keep
+    } else {
+      Disposition::Close
+    },
   };
   hub.measures.record_request();
   mailbox.waker.clear();
@@ -225,8 +234,8 @@
   fn leave(&mut self) {
     self.hub.measures.record_caller_gone();
     info!(self.hub.log, "caller left"; "request" => &self.id, "phase" => "waiting",
-      "waited_ms" => self.hub.now() - self.incoming.arrived);
-    self.then = Then::Close;
+      "waited_ms" => self.hub.now() - self.incoming.arrived_at);
+    self.then = Disposition::Close;
     self.apply(Event::CallerGone(self.ticket));
   }
 
@@ -237,7 +246,7 @@
   /// What of an answer came later than its route allows, for the log.
   fn late(&self) -> &'static str {
     let route = &self.incoming.route;
-    let first_ms = self.first_ms.map_or(0, |at| at - self.incoming.arrived);
+    let first_ms = self.first_ms.map_or(0, |at| at - self.incoming.arrived_at);
     match route.stream {
       _ if first_ms > route.objective_ms => "first",
       Some(stream) if self.pause_ms > stream.gap_ms => "pause",
@@ -250,8 +259,8 @@
     self.hub.measures.record_send(&measures::Send {
       number: attempt.number,
       end: result.end,
-      waited_ms: sent.saturating_sub(self.incoming.arrived),
-      first_ms: self.first_ms.map(|at| at - self.incoming.arrived),
+      waited_ms: sent.saturating_sub(self.incoming.arrived_at),
+      first_ms: self.first_ms.map(|at| at - self.incoming.arrived_at),
       pause_ms: self.pause_ms,
     });
     // Requests of the same content are told by it where something went wrong.
@@ -263,8 +272,8 @@
       "leaving" => &self.said.leaving, "retry_after" => &self.said.retry_after,
       "head_ms" => self.head_ms.map(|at| at.saturating_sub(sent)), "send" => attempt.number, "end" => format!("{:?}", result.end),
       "why" => result.why, "verdict" => result.end.verdict().as_str(),
-      "waited_ms" => sent.saturating_sub(self.incoming.arrived), "took_ms" => now - sent,
-      "first_ms" => self.first_ms.map(|at| at - self.incoming.arrived),
+      "waited_ms" => sent.saturating_sub(self.incoming.arrived_at), "took_ms" => now - sent,
+      "first_ms" => self.first_ms.map(|at| at - self.incoming.arrived_at),
       "events" => self.events.count, "pause_ms" => self.pause_ms,
       "servers_age_ms" => age.map(|age| age.as_millis() as u64),
       "missing_ms" => attempt.missing_ms);
--- a/src/relay/refusal.rs
+++ b/src/relay/refusal.rs
@@ -19,7 +19,7 @@
 }
 
 /// A refusal's bytes.
-pub fn refusal_answer(refusal: &Refusal, keep: bool) -> Vec<u8> {
+pub fn encode_refusal(refusal: &Refusal, keep: bool) -> Vec<u8> {
   let status = status(refusal);
   let body = reply::refusal_body(*refusal).to_string();
   let mut head = Response {
--- a/src/relay/send.rs
+++ b/src/relay/send.rs
@@ -1,13 +1,13 @@
 //! One send: the request to a server, and the head of its answer.
 
-use super::{Outcome, Relay, Then, outcome, severed};
+use super::{Disposition, Outcome, Relay, outcome, severed};
 use crate::{
   clock::Moment,
   dispatch::{Attempt, End, Event},
   http::{Decoder, Framing, Request, Response},
   limit,
   socket::{Fill, Interest, Socket, wait},
-  statement::{REPLACED, Said},
+  statement::{Hints, MISDIRECTED_REQUEST},
 };
 use slog::warn;
 use std::{io, time::Duration};
@@ -44,7 +44,7 @@
   pub(super) fn send(&mut self, attempt: &Attempt) -> Outcome {
     let once = !self.incoming.route.repeatable();
     let now = self.hub.now();
-    self.said = Said::default();
+    self.said = Hints::default();
     self.head_ms = None;
     if now >= self.until {
       return outcome(End::Unsent, "time over before it was sent");
@@ -78,7 +78,7 @@
         if let Reuse::Within(rest) = reuse
           && socket.input.is_empty()
         {
-          self.hub.pool.keep(attempt.backend, socket, rest);
+          self.hub.pool.release(attempt.backend, socket, rest);
         }
         result
       }
@@ -101,7 +101,7 @@
     match Socket::connect(attempt.address, LOOK) {
       Ok(socket) => {
         self.hub.measures.record_connection();
-        self.hub.pool.keep(attempt.backend, socket, None);
+        self.hub.pool.release(attempt.backend, socket, None);
         false
       }
       Err(error) => error.kind() == io::ErrorKind::ConnectionRefused,
@@ -183,7 +183,7 @@
       }
       if called {
         if self.hear_caller().is_err() {
-          self.then = Then::Close;
+          self.then = Disposition::Close;
           return Err(outcome(End::Left, "caller left"));
         }
       } else if self.hub.now() >= self.until {
@@ -271,7 +271,7 @@
 
   /// Takes up which limit an answer names; one of another server at the address says nothing.
   fn hear_limit(&self, status: u16, attempt: &Attempt) {
-    if status == REPLACED || self.said.limit.is_none() && !attempt.limited {
+    if status == MISDIRECTED_REQUEST || self.said.limit.is_none() && !attempt.limited {
       return;
     }
     let rate = match self.said.limit.as_deref().map(limit::parse).transpose() {
@@ -287,9 +287,9 @@
 
   /// Takes up what the head of an answer says of its server.
   fn hear_head(&mut self, head: &Response, attempt: &Attempt) {
-    self.said = Said::of(head.status, &head.headers, &self.hub.dialect);
+    self.said = Hints::from_head(head.status, &head.headers, &self.hub.dialect);
     self.head_ms = Some(self.hub.now());
-    self.hub.hear(attempt.life, &attempt.id, &self.said);
+    self.hub.apply_hints(attempt.life, &attempt.id, &self.said);
   }
 
   /// Reads an answer that comes as its caller leaves for what it says of the server.
--- a/src/router.rs
+++ b/src/router.rs
@@ -132,17 +132,19 @@
       |_, _| true,
       |change| {
         let objects = match change {
-          feed::Event::All(objects) => objects,
-          feed::Event::Some(objects) => objects
+          feed::Event::Listed(objects) => objects,
+          feed::Event::Changed(objects) => objects
             .into_iter()
             .filter_map(|(object, removed)| (!removed).then_some(object))
             .collect(),
-          feed::Event::Lost => {
+          feed::Event::Unreachable => {
             hub.measures.record_store_lost(edge.kinds.deployments);
             return false;
           }
           // The servers' feed reports the state of the store.
-          feed::Event::Back(_) | feed::Event::Returned | feed::Event::Current => return false,
+          feed::Event::Reachable(_) | feed::Event::Restored | feed::Event::CaughtUp => {
+            return false;
+          }
         };
         objects
           .iter()
@@ -210,28 +212,28 @@
           }
         };
         let changes = match change {
-          feed::Event::All(objects) => list_changes(objects.iter().map(decode).collect()),
-          feed::Event::Some(objects) => objects
+          feed::Event::Listed(objects) => list_changes(objects.iter().map(decode).collect()),
+          feed::Event::Changed(objects) => objects
             .iter()
             .map(|(object, removed)| match removed {
               true => Change::Removed(object.name.clone()),
               false => decode(object),
             })
             .collect(),
-          feed::Event::Lost => {
+          feed::Event::Unreachable => {
             hub.measures.record_store_lost(edge.kinds.servers);
             hub.apply(Event::StoreLost, None);
             return false;
           }
-          feed::Event::Back(outage) => {
+          feed::Event::Reachable(outage) => {
             hub.apply(Event::StoreBack(outage), None);
             return false;
           }
-          feed::Event::Returned => {
+          feed::Event::Restored => {
             hub.apply(Event::StoreRestored, None);
             return false;
           }
-          feed::Event::Current => {
+          feed::Event::CaughtUp => {
             hub.apply(Event::StoreCurrent, None);
             return false;
           }
--- a/src/statement/exchange.rs
+++ b/src/statement/exchange.rs
@@ -4,7 +4,7 @@
 //! once and twice more, for a datagram may be lost; the holder publishes it to all in the same
 //! way, and all that it knows with each list of instances, for those that start.
 
-use super::{Content, Said, Statement};
+use super::{Content, Hints, Statement};
 use crate::{
   dispatch::{Event, State},
   hub::Hub,
@@ -22,7 +22,7 @@
 impl Planner {
   /// Takes up what has become known here: the holder publishes it, another instance reports what
   /// it heard itself.
-  pub(crate) fn statements(&mut self) {
+  pub(crate) fn exchange_statements(&mut self) {
     let now = self.hub.now();
     let changed = self.hub.state().take_statements();
     let holding = self.groups.first().is_some_and(|group| group.holds_lease);
@@ -50,9 +50,9 @@
   }
 
   /// Takes up what another instance heard of servers.
-  pub(crate) fn hear_statements(&mut self, mut statements: Vec<Statement>) {
+  pub(crate) fn receive_statements(&mut self, mut statements: Vec<Statement>) {
     if self.stalled {
-      statements.retain(Statement::counts_late);
+      statements.retain(Statement::applies_when_late);
     }
     if !statements.is_empty() {
       self.hub.apply(Event::Statements(statements), None);
@@ -84,7 +84,7 @@
   }
 
   /// Reports once more which servers leave: a holder that has taken over may not have heard it.
-  pub(crate) fn report_leaving(&mut self, now: u64) {
+  pub(crate) fn resend_leaving(&mut self, now: u64) {
     let leaving: Vec<Life> = self.hub.state().leaving.servers().collect();
     for server in leaving {
       self.reported_statements.add(now, server);
@@ -100,7 +100,7 @@
   }
 
   /// What all servers said, for instances that know nothing yet.
-  pub fn statements(&self, now: u64) -> Vec<Statement> {
+  pub fn all_statements(&self, now: u64) -> Vec<Statement> {
     let leaving = self.leaving.servers();
     let leaving = leaving.filter_map(|server| self.leaving.statement(server, now));
     self
@@ -120,12 +120,12 @@
   }
 
   /// Takes up what other instances heard of servers.
-  pub(crate) fn hear_statements(&mut self, statements: &[Statement]) {
+  pub(crate) fn receive_statements(&mut self, statements: &[Statement]) {
     for statement in statements {
       let at = self.now.saturating_sub(statement.age_ms.into());
       match statement.content {
         Content::Limit(rate) => self.receive_limit(statement.server, rate, at),
-        Content::Leaving => self.hear_leaving(statement.server, at, false),
+        Content::Leaving => self.receive_leaving(statement.server, at, false),
       }
     }
   }
@@ -133,13 +133,13 @@
 
 impl Hub {
   /// Takes up what the head of an answer says of its server.
-  pub(crate) fn hear(&self, server: Life, id: &str, said: &Said) {
-    match said.leaves() {
+  pub(crate) fn apply_hints(&self, server: Life, id: &str, said: &Hints) {
+    match said.is_leaving() {
       Ok(true) => self.apply(Event::Leaving(server), None),
       Ok(false) => {}
       Err(error) => warn!(self.log, "statement not understood"; "server" => id, "error" => error),
     }
-    match said.rest_ms() {
+    match said.backoff_ms() {
       Ok(Some(rest_ms)) => self.apply(
         Event::Backoff {
           server,
--- a/src/statement/leaving.rs
+++ b/src/statement/leaving.rs
@@ -1,6 +1,6 @@
 //! Servers that say that they leave, in their answers or entries.
 
-use super::{Content, KEPT_MS, Statement, age_ms};
+use super::{Content, RETENTION_MS, Statement, age_ms};
 use crate::{
   dispatch::{Effect, State},
   life::Life,
@@ -62,13 +62,13 @@
   pub fn forget(&mut self, now: u64, there: impl Fn(Life) -> bool) {
     self
       .said
-      .retain(|server, at| there(*server) || now < *at + KEPT_MS);
+      .retain(|server, at| there(*server) || now < *at + RETENTION_MS);
   }
 }
 
 impl State {
   /// A server says at a time, ms, that it leaves. `own`: to this instance.
-  pub(crate) fn hear_leaving(&mut self, server: Life, at: u64, own: bool) {
+  pub(crate) fn receive_leaving(&mut self, server: Life, at: u64, own: bool) {
     if !self.leaving.hear(server, at, own) {
       return;
     }
@@ -86,7 +86,7 @@
   }
 
   /// A server's entry says that it leaves.
-  pub(crate) fn read_leaving(&mut self, server: Life) {
+  pub(crate) fn record_leaving_entry(&mut self, server: Life) {
     if !self.leaving.contains(server) {
       self.leaving.read(server, self.now);
       self.forget_leaving();
--- a/src/statement/margin.rs
+++ b/src/statement/margin.rs
@@ -57,7 +57,7 @@
 
 /// By instance and server: how long after the first answer that said that it leaves the last send
 /// went out, ms; 0: none did.
-pub fn after_leaving(lines: &[Line]) -> Vec<(String, String, u64)> {
+pub fn last_send_after_leaving(lines: &[Line]) -> Vec<(String, String, u64)> {
   let pairs = sends(lines).into_iter();
   let measured = pairs.filter_map(|((instance, server), sends)| {
     let told = sends.iter().filter_map(Send::leaving);
@@ -71,7 +71,7 @@
 
 /// By instance and server: the most sends in one rest, but for those that may have crossed the
 /// answer that asked for it.
-pub fn in_rests(lines: &[Line]) -> Vec<(String, String, usize)> {
+pub fn sends_during_backoff(lines: &[Line]) -> Vec<(String, String, usize)> {
   let pairs = sends(lines).into_iter();
   let measured = pairs.filter_map(|((instance, server), sends)| {
     let rests = sends.iter().filter_map(Send::rest);
--- a/src/statement/mod.rs
+++ b/src/statement/mod.rs
@@ -12,15 +12,15 @@
 mod said;
 
 pub use leaving::Leaving;
-pub(crate) use rest::Rests;
-pub use said::{REPLACED, Reply, Said};
+pub(crate) use rest::Backoffs;
+pub use said::{Hints, MISDIRECTED_REQUEST, Reply};
 
 use crate::life::Life;
 use serde::{Deserialize, Serialize};
 
 /// What a server said counts for so long after it was last heard of while its entry is missing,
 /// ms: entries that lapse with the store come back within seconds, some after a minute.
-pub(crate) const KEPT_MS: u64 = 120_000;
+pub(crate) const RETENTION_MS: u64 = 120_000;
 
 /// What a server says of itself, as instances exchange it.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
@@ -43,7 +43,7 @@
 impl Statement {
   /// Whether it counts also where it was read late, after this process stood still: that a limit
   /// ended may have been overtaken by a new one, and is published again.
-  pub fn counts_late(&self) -> bool {
+  pub fn applies_when_late(&self) -> bool {
     self.content != Content::Limit(None)
   }
 }
--- a/src/statement/rest.rs
+++ b/src/statement/rest.rs
@@ -4,7 +4,7 @@
 //! away come back together when its rest is over. So a server that has rested is tried out first:
 //! few requests go there until one of them is taken, or none is turned away.
 
-use super::KEPT_MS;
+use super::RETENTION_MS;
 use crate::{
   backend::Backend,
   cold::give_up_at,
@@ -51,11 +51,11 @@
 
 /// Rests by the lives of servers. A rest is between one instance and a server: others go on.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Rests {
+pub(crate) struct Backoffs {
   rests: BTreeMap<Life, Rest>,
 }
 
-impl Rests {
+impl Backoffs {
   /// Whether no server asked for rest lately.
   pub(crate) fn is_empty(&self) -> bool {
     self.rests.is_empty()
@@ -65,7 +65,7 @@
   fn ask(&mut self, server: Life, now: u64, rest_ms: u64) {
     self
       .rests
-      .retain(|_, rest| now < rest.until.saturating_add(KEPT_MS));
+      .retain(|_, rest| now < rest.until.saturating_add(RETENTION_MS));
     let rest = self.rests.entry(server).or_default();
     *rest = Rest {
       until: rest.until.max(now.saturating_add(rest_ms)),
@@ -86,7 +86,7 @@
   }
 
   /// A request is sent to a server; whether it tries the server out.
-  pub(crate) fn send(&mut self, server: Life, now: u64) -> bool {
+  pub(crate) fn record_send(&mut self, server: Life, now: u64) -> bool {
     let Some(rest) = self.rests.get_mut(&server) else {
       return false;
     };
@@ -119,7 +119,7 @@
 
 impl State {
   /// A server asks this instance for so much rest, ms.
-  pub(crate) fn hear_rest(&mut self, server: Life, rest_ms: u64) {
+  pub(crate) fn receive_backoff(&mut self, server: Life, rest_ms: u64) {
     self.backoffs.ask(server, self.now, rest_ms);
     let known = self.backends.values();
     let known = known.map(|backend| &backend.spec);
@@ -135,30 +135,30 @@
   }
 
   /// A server took a request after its rest.
-  pub(crate) fn took(&mut self, server: Life) {
+  pub(crate) fn record_trial_accepted(&mut self, server: Life) {
     self.backoffs.take(server, self.now);
     self.dispatch_waiting();
   }
 
   /// Servers that rest, for the planner.
-  pub fn resting(&self, now: u64) -> Vec<Life> {
+  pub fn servers_backing_off(&self, now: u64) -> Vec<Life> {
     self.backoffs.resting(now).collect()
   }
 
   /// Whether a server takes requests, as far as it asked for rest.
-  pub(crate) fn is_open(&self, backend: &Backend) -> bool {
+  pub(crate) fn accepts_requests(&self, backend: &Backend) -> bool {
     let open = |life| self.backoffs.closed_until(life, self.now).is_none();
     self.backoffs.is_empty() || open(backend.spec.life())
   }
 
   /// Whether a server's rest lasts.
-  pub(crate) fn rests(&self, backend: &Backend) -> bool {
+  pub(crate) fn is_backing_off(&self, backend: &Backend) -> bool {
     self.backoffs.lasts(backend.spec.life(), self.now)
   }
 
   /// For a request whose servers all want rest for longer than its caller waits: after how long it
   /// should come back, ms. One that has begun waits: nothing else could go on with it.
-  pub(crate) fn after_rest_ms(&self, request: &Request) -> Option<u64> {
+  pub(crate) fn retry_after_backoff_ms(&self, request: &Request) -> Option<u64> {
     if self.backoffs.is_empty() || request.verdict != Verdict::NotRun {
       return None;
     }
--- a/src/statement/said.rs
+++ b/src/statement/said.rs
@@ -3,13 +3,13 @@
 use crate::{dialect::Dialect, http::Headers};
 
 /// Status of an answer of a server that is not the one meant, or lacks the model.
-pub const REPLACED: u16 = 421;
+pub const MISDIRECTED_REQUEST: u16 = 421;
 /// Status of an answer of a server that takes no more now.
 const UNAVAILABLE: u16 = 503;
 
 /// What the head of an answer says of the server that gave it, as it stands there.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Said {
+pub struct Hints {
   /// Requests a second that it takes from all instances together.
   pub limit: Option<String>,
   /// It takes no new work.
@@ -18,10 +18,10 @@
   pub retry_after: Option<String>,
 }
 
-impl Said {
+impl Hints {
   /// What an answer says. One of another server at the address says nothing of the one meant.
-  pub fn of(status: u16, headers: &Headers, dialect: &Dialect) -> Self {
-    if status == REPLACED {
+  pub fn from_head(status: u16, headers: &Headers, dialect: &Dialect) -> Self {
+    if status == MISDIRECTED_REQUEST {
       return Self::default();
     }
     let value = |name: &str| headers.get(name).map(str::to_string);
@@ -38,16 +38,16 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Reply<T> {
   pub outcome: T,
-  pub said: Said,
+  pub hints: Hints,
 }
 
-impl Said {
+impl Hints {
   /// Whether the server leaves.
   ///
   /// # Errors
   ///
   /// A value other than `1`.
-  pub fn leaves(&self) -> Result<bool, String> {
+  pub fn is_leaving(&self) -> Result<bool, String> {
     match self.leaving.as_deref() {
       None => Ok(false),
       Some("1") => Ok(true),
@@ -60,7 +60,7 @@
   /// # Errors
   ///
   /// A value that is no number of seconds: a date is not understood.
-  pub fn rest_ms(&self) -> Result<Option<u64>, String> {
+  pub fn backoff_ms(&self) -> Result<Option<u64>, String> {
     let Some(text) = self.retry_after.as_deref() else {
       return Ok(None);
     };
--- a/src/upstream.rs
+++ b/src/upstream.rs
@@ -56,7 +56,7 @@
   }
 
   /// Keeps a connection on which nothing is due.
-  pub fn keep(&self, key: backend::Key, socket: Socket, rest: Option<Duration>) {
+  pub fn release(&self, key: backend::Key, socket: Socket, rest: Option<Duration>) {
     let mut pool = lock(&self.kept);
     let Some(kept) = pool.entry(key).map(|entry| entry.or_default()) else {
       return;
--- a/tests/departures.rs
+++ b/tests/departures.rs
@@ -3,7 +3,7 @@
 use bendsaddle::{
   departures::{LastSend, histogram, last_sends},
   explain::Line,
-  statement::margin::{after_leaving, in_rests},
+  statement::margin::{last_send_after_leaving, sends_during_backoff},
 };
 
 /// A line of an instance at some seconds, with more fields.
@@ -89,7 +89,7 @@
   // Sent at 1.0, told at 1.02; sent again at 2.0.
   let one = ("one".to_string(), "s".to_string(), 980);
   let three = ("three".to_string(), "s".to_string(), 0);
-  assert_eq!(after_leaving(&lines), [one, three]);
+  assert_eq!(last_send_after_leaving(&lines), [one, three]);
 }
 
 #[test]
@@ -106,5 +106,8 @@
     answered(3.0, "two", none),
   ];
   // Told at 1.02: from 1.52 to 4.02 those sent at 1.53, 2.9 and 4.0.
-  assert_eq!(in_rests(&lines), [("one".to_string(), "s".to_string(), 3)]);
+  assert_eq!(
+    sends_during_backoff(&lines),
+    [("one".to_string(), "s".to_string(), 3)]
+  );
 }
--- a/tests/era.rs
+++ b/tests/era.rs
@@ -94,8 +94,8 @@
       |_, _| true,
       |event| {
         let objects: Vec<Object> = match event {
-          Event::All(objects) => objects,
-          Event::Some(objects) => objects.into_iter().map(|(object, _)| object).collect(),
+          Event::Listed(objects) => objects,
+          Event::Changed(objects) => objects.into_iter().map(|(object, _)| object).collect(),
           _ => return false,
         };
         for object in &objects {
@@ -176,7 +176,7 @@
   wait_for(&contents, "1/40", || {});
   restore(&server, 30, 90);
   let word = progress(at(2, 90), at(2, 30));
-  wait_for(&contents, "2/30", || gate.follow(word));
+  wait_for(&contents, "2/30", || gate.receive_progress(word));
 }
 
 #[test]
@@ -190,7 +190,7 @@
   (shared.revision, shared.content) = (at(2, 46), 46);
   drop(shared);
   let word = progress(at(1, 60), at(1, 40));
-  wait_for(&contents, "2/46", || gate.follow(word));
+  wait_for(&contents, "2/46", || gate.receive_progress(word));
 }
 
 #[test]
@@ -211,12 +211,12 @@
     }],
   };
   restore(&server, 30, 95);
-  gate.follow(word);
-  gate.offer(batch);
+  gate.receive_progress(word);
+  gate.receive_batch(batch);
   let began = Instant::now();
   let first = loop {
     assert!(began.elapsed() < LONG);
-    gate.follow(word);
+    gate.receive_progress(word);
     if let Ok(first) = contents.recv_timeout(Duration::from_millis(20)) {
       break first;
     }
--- a/tests/feed.rs
+++ b/tests/feed.rs
@@ -2,7 +2,7 @@
 //! its word is old or names a change that they lack.
 
 use bendsaddle::{
-  feed::{Batch, Change, Event, Gate, Progress, SILENT, follow},
+  feed::{Batch, Change, Event, Gate, OUTAGE_THRESHOLD, Progress, follow},
   store::{Changes, Error, Object, Page, Store},
 };
 use slog::{Discard, Logger, o};
@@ -86,9 +86,9 @@
   let (sender, receiver) = channel();
   follow_events(numbers, gate, move |event| {
     let revision = match event {
-      Event::All(objects) => objects[0].revision.number,
-      Event::Some(objects) => objects[0].0.revision.number,
-      Event::Lost | Event::Back(_) | Event::Returned | Event::Current => return false,
+      Event::Listed(objects) => objects[0].revision.number,
+      Event::Changed(objects) => objects[0].0.revision.number,
+      Event::Unreachable | Event::Reachable(_) | Event::Restored | Event::CaughtUp => return false,
     };
     let _ = sender.send(revision);
     true
@@ -126,7 +126,7 @@
   let (mut last, mut longest) = (began, Duration::ZERO);
   while !done() {
     assert!(began.elapsed() < LONG, "not in time");
-    gate.follow(word);
+    gate.receive_progress(word);
     longest = longest.max(last.elapsed());
     last = Instant::now();
     thread::sleep(Duration::from_millis(20));
@@ -139,7 +139,7 @@
   let numbers = Arc::new(Numbers::default());
   numbers.revision.store(5, Ordering::Relaxed);
   let gate = Arc::new(Gate::default());
-  gate.follow(progress(5, 5, 0));
+  gate.receive_progress(progress(5, 5, 0));
   let news = spawn(&numbers, &gate);
   assert_eq!(news.recv_timeout(LONG), Ok(5));
   // Event is taken up before the gate knows of it.
@@ -192,8 +192,8 @@
 fn who_leads_reads_all_that_it_passed_over() {
   let (numbers, gate, news) = followed();
   numbers.revision.store(9, Ordering::Relaxed);
-  gate.follow(progress(9, 5, 0));
-  gate.lead(true);
+  gate.receive_progress(progress(9, 5, 0));
+  gate.set_leading(true);
   assert_eq!(news.recv_timeout(LONG), Ok(9));
   assert_eq!(numbers.lists.load(Ordering::Relaxed), 2);
 }
@@ -205,20 +205,20 @@
   let gate = Arc::new(Gate::default());
   let (sender, silences) = channel();
   let asked = Instant::now();
-  gate.follow(progress(5, 5, 0));
+  gate.receive_progress(progress(5, 5, 0));
   follow_events(&numbers, &gate, move |event| {
-    if let Event::Back(silence) = event {
+    if let Event::Reachable(silence) = event {
       let _ = sender.send(silence.length);
     }
     true
   });
   // The store answers neither the holder nor this instance.
   numbers.mute.store(true, Ordering::Relaxed);
-  thread::sleep(SILENT + Duration::from_millis(500));
+  thread::sleep(OUTAGE_THRESHOLD + Duration::from_millis(500));
   numbers.mute.store(false, Ordering::Relaxed);
   let silence = silences.recv_timeout(LONG).unwrap();
   assert!(
-    silence >= SILENT && silence <= asked.elapsed(),
+    silence >= OUTAGE_THRESHOLD && silence <= asked.elapsed(),
     "{silence:?}"
   );
 }
@@ -242,11 +242,11 @@
 fn changes_that_a_holder_read_cost_no_call() {
   let (numbers, gate, news) = followed();
   numbers.revision.store(8, Ordering::Relaxed);
-  gate.offer(batch(5, 8));
+  gate.receive_batch(batch(5, 8));
   assert_eq!(heard(&gate, progress(8, 8, 0), &news), Some(8));
   // Sent twice, or late: it is known.
-  gate.offer(batch(5, 8));
-  gate.offer(batch(8, 10));
+  gate.receive_batch(batch(5, 8));
+  gate.receive_batch(batch(8, 10));
   numbers.revision.store(10, Ordering::Relaxed);
   assert_eq!(heard(&gate, progress(10, 10, 0), &news), Some(10));
   let mut spoken = 0;
@@ -267,7 +267,7 @@
   let (numbers, gate, news) = followed();
   numbers.revision.store(12, Ordering::Relaxed);
   // The one up to 8 was lost.
-  gate.offer(batch(8, 11));
+  gate.receive_batch(batch(8, 11));
   assert_eq!(heard(&gate, progress(11, 11, 0), &news), Some(12));
   assert!(numbers.watches.load(Ordering::Relaxed) > 0);
 }
@@ -278,7 +278,7 @@
   numbers.revision.store(8, Ordering::Relaxed);
   let mut broken = batch(5, 8);
   broken.changes[0].spec = "{".into();
-  gate.offer(broken);
+  gate.receive_batch(broken);
   assert_eq!(heard(&gate, progress(8, 8, 0), &news), Some(8));
   assert!(numbers.watches.load(Ordering::Relaxed) > 0);
 }
@@ -287,7 +287,7 @@
 fn published(gate: &Gate) -> Vec<Batch> {
   let began = Instant::now();
   loop {
-    let published = gate.published();
+    let published = gate.take_published();
     if !published.is_empty() {
       return published;
     }
@@ -299,8 +299,8 @@
 #[test]
 fn a_holder_publishes_what_it_reads_and_takes_nobody_elses() {
   let (numbers, gate, news) = followed();
-  gate.lead(true);
-  gate.offer(batch(5, 20));
+  gate.set_leading(true);
+  gate.receive_batch(batch(5, 20));
   numbers.revision.store(7, Ordering::Relaxed);
   assert_eq!(news.recv_timeout(LONG), Ok(7));
   let published = published(&gate);
@@ -312,10 +312,10 @@
   let numbers = Arc::new(Numbers::default());
   numbers.revision.store(5, Ordering::Relaxed);
   let gate = Arc::new(Gate::default());
-  gate.follow(progress(5, 5, 0));
+  gate.receive_progress(progress(5, 5, 0));
   let (sender, removals) = channel();
   follow_events(&numbers, &gate, move |event| {
-    if let Event::Some(objects) = &event {
+    if let Event::Changed(objects) = &event {
       let _ = sender.send(objects.clone());
     }
     true
@@ -328,8 +328,8 @@
   let mut removal = batch(5, 8);
   removal.changes[0].revision = 3.into();
   removal.changes[0].removed = true;
-  gate.offer(removal);
-  gate.follow(progress(8, 8, 0));
+  gate.receive_batch(removal);
+  gate.receive_progress(progress(8, 8, 0));
   let objects = removals.recv_timeout(LONG).unwrap();
   assert!(objects[0].1, "{objects:?}");
 }
@@ -341,7 +341,7 @@
   numbers.revision.store(7, Ordering::Relaxed);
   assert_eq!(heard(&gate, progress(7, 7, 0), &news), Some(7));
   numbers.revision.store(9, Ordering::Relaxed);
-  gate.offer(batch(5, 8));
+  gate.receive_batch(batch(5, 8));
   assert_eq!(heard(&gate, progress(8, 8, 0), &news), Some(9));
 }
 
@@ -370,7 +370,7 @@
     assert!(began.elapsed() < LONG, "not in time");
     thread::sleep(Duration::from_millis(1));
   }
-  gate.offer(batch(5, 8));
+  gate.receive_batch(batch(5, 8));
   assert_eq!(heard(&gate, progress(8, 8, 0), &news), Some(8));
 }
 
@@ -401,7 +401,7 @@
     write: Box::new(|_, _, _, _| Err(Error::Absent { era: 0 })),
   };
   let gate = Arc::new(Gate::default());
-  gate.lead(true);
+  gate.set_leading(true);
   let (followed, log) = (gate.clone(), Logger::root(Discard, o!()));
   thread::spawn(move || follow(&store, "kind", &followed, &log, matters, |_| true));
   published(&gate).swap_remove(0)
@@ -453,7 +453,7 @@
   let numbers = Arc::new(Numbers::default());
   numbers.revision.store(5, Ordering::Relaxed);
   let gate = Arc::new(Gate::default());
-  gate.lead(true);
+  gate.set_leading(true);
   follow_events(&numbers, &gate, |_| false);
   wait_for("the first list", || gate.progress().revision.number == 5);
   // No watch arrives any more, so all is read.
--- a/tests/fleet_limit/mod.rs
+++ b/tests/fleet_limit/mod.rs
@@ -163,7 +163,7 @@
 fn overtaken(mail: Mail) -> Mail {
   match mail {
     Mail::Limits(index, mut statements) => {
-      statements.retain(Statement::counts_late);
+      statements.retain(Statement::applies_when_late);
       Mail::Limits(index, statements)
     }
     other => other,
--- a/tests/returned.rs
+++ b/tests/returned.rs
@@ -125,6 +125,6 @@
   let mut old = servers(&["s"]);
   old.reduce(10, set(draining("s")));
   let mut new = servers(&["s"]);
-  new.reduce(20, Event::Statements(old.statements(15)));
+  new.reduce(20, Event::Statements(old.all_statements(15)));
   assert_eq!(used(&mut new, 30), None);
 }
--- a/tests/sends.rs
+++ b/tests/sends.rs
@@ -136,7 +136,7 @@
   let idle = Socket::connect(one, LONG).unwrap();
   let mut keys: SlotMap<backend::Key, ()> = SlotMap::with_key();
   let [.., other] = [(); 8].map(|()| keys.insert(()));
-  hub.pool.keep(other, idle, None);
+  hub.pool.release(other, idle, None);
   let (go_on, held) = channel::<()>();
   let (begun, began) = channel::<()>();
   let holder = {
--- a/tests/silence.rs
+++ b/tests/silence.rs
@@ -2,7 +2,7 @@
 //! answer goes by.
 
 use bendsaddle::{
-  feed::{Batch, Change, Event, Gate, Progress, SILENT, follow},
+  feed::{Batch, Change, Event, Gate, OUTAGE_THRESHOLD, Progress, follow},
   store::{Changes, Error, Object, Page, Store},
 };
 use slog::{Discard, Logger, o};
@@ -109,7 +109,7 @@
       &log,
       |_, _| true,
       move |event| {
-        let matters = matches!(event, Event::All(_) | Event::Some(_));
+        let matters = matches!(event, Event::Listed(_) | Event::Changed(_));
         let _ = sender.send(event);
         if !std::mem::replace(&mut seen, true) {
           first();
@@ -182,24 +182,24 @@
 #[test]
 fn an_instance_without_the_store_takes_what_the_holder_sends() {
   let gate = Arc::new(Gate::default());
-  gate.follow(progress(5));
+  gate.receive_progress(progress(5));
   let (server, events) = followed(&gate, || {});
   known(&gate);
   server.lock().unwrap().mood = Mood::Silent(Duration::from_millis(50));
   // A change that it lacks makes it ask the store.
   let lost = next(
     &events,
-    || gate.follow(progress(7)),
-    |event| (*event == Event::Lost).then_some(()),
+    || gate.receive_progress(progress(7)),
+    |event| (*event == Event::Unreachable).then_some(()),
   );
   assert_eq!(lost, Some(()));
   let taken = next(
     &events,
     || {
-      gate.offer(batch());
-      gate.follow(progress(8));
+      gate.receive_batch(batch());
+      gate.receive_progress(progress(8));
     },
-    |event| matches!(event, Event::Some(_)).then_some(()),
+    |event| matches!(event, Event::Changed(_)).then_some(()),
   );
   assert_eq!(taken, Some(()), "not in 20 s");
 }
@@ -209,27 +209,27 @@
 #[test]
 fn the_silence_is_known_before_a_removal_that_the_holder_read_after_it() {
   let gate = Arc::new(Gate::default());
-  gate.follow(progress(5));
+  gate.receive_progress(progress(5));
   let (server, events) = followed(&gate, || {});
   known(&gate);
   server.lock().unwrap().mood = Mood::Refuses;
-  thread::sleep(SILENT + Duration::from_millis(900));
+  thread::sleep(OUTAGE_THRESHOLD + Duration::from_millis(900));
   // The holder is answered again, this one not yet.
   let removal = removal();
   let first = next(
     &events,
     || {
-      gate.offer(removal.clone());
-      gate.follow(progress(8));
+      gate.receive_batch(removal.clone());
+      gate.receive_progress(progress(8));
     },
     |event| match event {
-      Event::Back(silence) => Some(Some(silence.length)),
-      Event::Some(_) => Some(None),
+      Event::Reachable(silence) => Some(Some(silence.length)),
+      Event::Changed(_) => Some(None),
       _ => None,
     },
   );
   let silence = first.expect("an event").expect("the silence first");
-  assert!(silence >= SILENT, "{silence:?}");
+  assert!(silence >= OUTAGE_THRESHOLD, "{silence:?}");
 }
 
 // The holder falls silent, and after a while this instance asks by itself; that one call is
@@ -237,17 +237,17 @@
 #[test]
 fn the_wait_for_a_lost_holder_is_no_silence_of_the_store() {
   let gate = Arc::new(Gate::default());
-  gate.follow(progress(5));
+  gate.receive_progress(progress(5));
   let (server, events) = followed(&gate, || {});
   known(&gate);
-  gate.follow(progress(5));
+  gate.receive_progress(progress(5));
   // The watch's own time and that for its answer.
   let call = Duration::from_millis(2_000);
   server.lock().unwrap().mood = Mood::Silent(call);
   let lost = next(
     &events,
     || {},
-    |event| (*event == Event::Lost).then_some(Instant::now()),
+    |event| (*event == Event::Unreachable).then_some(Instant::now()),
   );
   let failed = lost.expect("a failed call");
   server.lock().unwrap().mood = Mood::Answers;
@@ -255,14 +255,14 @@
     &events,
     || {},
     |event| match event {
-      Event::Back(silence) => Some(silence.length),
+      Event::Reachable(silence) => Some(silence.length),
       _ => None,
     },
   );
   let asked = call + failed.elapsed();
   let silence = back.expect("the store back");
   assert!(
-    silence < SILENT.max(asked),
+    silence < OUTAGE_THRESHOLD.max(asked),
     "{silence:?}, asked for {asked:?}"
   );
 }
@@ -272,14 +272,16 @@
 #[test]
 fn a_freeze_of_ones_own_is_no_silence_of_the_store_at_a_later_failure() {
   let gate = Arc::new(Gate::default());
-  gate.follow(progress(5));
-  let (server, events) = followed(&gate, || thread::sleep(SILENT + Duration::from_millis(400)));
-  thread::sleep(SILENT + Duration::from_millis(200));
+  gate.receive_progress(progress(5));
+  let (server, events) = followed(&gate, || {
+    thread::sleep(OUTAGE_THRESHOLD + Duration::from_millis(400))
+  });
+  thread::sleep(OUTAGE_THRESHOLD + Duration::from_millis(200));
   // What came meanwhile is read before the feed's thread runs again.
-  gate.follow(progress(5));
+  gate.receive_progress(progress(5));
   let began = Instant::now();
   while began.elapsed() < Duration::from_secs(1) {
-    gate.follow(progress(5));
+    gate.receive_progress(progress(5));
     thread::sleep(Duration::from_millis(20));
   }
   server.lock().unwrap().mood = Mood::Refuses;
@@ -287,38 +289,43 @@
   let failed = Instant::now();
   let lost = next(
     &events,
-    || gate.follow(progress(8)),
-    |event| (*event == Event::Lost).then_some(()),
+    || gate.receive_progress(progress(8)),
+    |event| (*event == Event::Unreachable).then_some(()),
   );
   assert_eq!(lost, Some(()));
   server.lock().unwrap().mood = Mood::Answers;
   let back = next(
     &events,
-    || gate.follow(progress(8)),
+    || gate.receive_progress(progress(8)),
     |event| match event {
-      Event::Back(silence) => Some(silence.length),
+      Event::Reachable(silence) => Some(silence.length),
       _ => None,
     },
   );
   let (silence, most) = (back.expect("the store back"), failed.elapsed());
-  assert!(silence < SILENT.max(most), "{silence:?}, {most:?}");
+  assert!(
+    silence < OUTAGE_THRESHOLD.max(most),
+    "{silence:?}, {most:?}"
+  );
 }
 
 // The same, and no call fails: nothing says that the store was silent at all.
 #[test]
 fn a_freeze_of_ones_own_without_a_failed_call_is_no_silence() {
   let gate = Arc::new(Gate::default());
-  gate.follow(progress(5));
-  let (server, events) = followed(&gate, || thread::sleep(SILENT + Duration::from_millis(400)));
-  thread::sleep(SILENT + Duration::from_millis(200));
-  gate.follow(progress(5));
+  gate.receive_progress(progress(5));
+  let (server, events) = followed(&gate, || {
+    thread::sleep(OUTAGE_THRESHOLD + Duration::from_millis(400))
+  });
+  thread::sleep(OUTAGE_THRESHOLD + Duration::from_millis(200));
+  gate.receive_progress(progress(5));
   server.lock().unwrap().revision = 8;
   let first = next(
     &events,
-    || gate.follow(progress(8)),
+    || gate.receive_progress(progress(8)),
     |event| match event {
-      Event::Back(silence) => Some(Some(silence.length)),
-      Event::Some(_) => Some(None),
+      Event::Reachable(silence) => Some(Some(silence.length)),
+      Event::Changed(_) => Some(None),
       _ => None,
     },
   );
@@ -329,31 +336,31 @@
 #[test]
 fn what_was_known_when_the_store_was_back_comes_before_a_later_removal() {
   let gate = Arc::new(Gate::default());
-  gate.follow(progress(5));
+  gate.receive_progress(progress(5));
   let (server, events) = followed(&gate, || {});
   known(&gate);
   server.lock().unwrap().mood = Mood::Refuses;
-  thread::sleep(SILENT + Duration::from_millis(900));
+  thread::sleep(OUTAGE_THRESHOLD + Duration::from_millis(900));
   let back = next(
     &events,
-    || gate.follow(progress(5)),
-    |event| matches!(event, Event::Back(_)).then_some(Instant::now()),
+    || gate.receive_progress(progress(5)),
+    |event| matches!(event, Event::Reachable(_)).then_some(Instant::now()),
   );
   let back = back.expect("the store back");
   while back.elapsed() < Duration::from_millis(300) {
-    gate.follow(progress(5));
+    gate.receive_progress(progress(5));
     thread::sleep(Duration::from_millis(20));
   }
   let removal = removal();
   let first = next(
     &events,
     || {
-      gate.offer(removal.clone());
-      gate.follow(progress(8));
+      gate.receive_batch(removal.clone());
+      gate.receive_progress(progress(8));
     },
     |event| match event {
-      Event::Current => Some(true),
-      Event::Some(_) => Some(false),
+      Event::CaughtUp => Some(true),
+      Event::Changed(_) => Some(false),
       _ => None,
     },
   );
--- a/tests/statements.rs
+++ b/tests/statements.rs
@@ -12,7 +12,7 @@
   refusal::Reason,
   request::Ticket,
   route::Repeat,
-  statement::{Content, Said, Statement},
+  statement::{Content, Hints, Statement},
   verdict::Verdict,
 };
 use quickcheck::quickcheck;
@@ -153,27 +153,27 @@
     content: Content::Leaving,
     age_ms: 90,
   };
-  assert_eq!(state.statements(100), [statement]);
+  assert_eq!(state.all_statements(100), [statement]);
   let mut other = servers(&["s"]);
   other.reduce(5_000, Event::Statements(vec![statement]));
   assert!(!used(&mut other, 5_001));
   assert_eq!(other.take_statements(), [(life("s"), false)]);
 }
 
-fn said(name: &str, value: &str, status: u16) -> Said {
+fn said(name: &str, value: &str, status: u16) -> Hints {
   let mut headers = Headers::default();
   headers.set(name, value);
-  Said::of(status, &headers, &bendsaddle::dialect::Dialect::DEFAULT)
+  Hints::from_head(status, &headers, &bendsaddle::dialect::Dialect::DEFAULT)
 }
 
 #[test]
 fn any_answer_of_the_server_that_was_meant_says_that_it_leaves() {
   for status in [200, 202, 409, 500, 503] {
-    assert_eq!(said("x-server-leaving", "1", status).leaves(), Ok(true));
+    assert_eq!(said("x-server-leaving", "1", status).is_leaving(), Ok(true));
   }
-  assert_eq!(said("x-server-leaving", "1", 421).leaves(), Ok(false));
-  assert_eq!(said("x-other", "1", 200).leaves(), Ok(false));
-  let odd = said("x-server-leaving", "yes", 200).leaves();
+  assert_eq!(said("x-server-leaving", "1", 421).is_leaving(), Ok(false));
+  assert_eq!(said("x-other", "1", 200).is_leaving(), Ok(false));
+  let odd = said("x-server-leaving", "yes", 200).is_leaving();
   assert_eq!(odd, Err("leaving: `yes` is not 1".into()));
 }
 
@@ -314,21 +314,21 @@
     },
   );
   assert!(!used(&mut state, 1_000_000));
-  assert_eq!(state.resting(1_000_000), [server]);
+  assert_eq!(state.servers_backing_off(1_000_000), [server]);
   state.reduce(1_000_010, set(born(6)));
   assert!(used(&mut state, 1_000_020));
 }
 
 #[test]
 fn how_long_a_server_rests_is_read_as_seconds() {
-  let rest = |text: &str, status| said("retry-after", text, status).rest_ms();
+  let rest = |text: &str, status| said("retry-after", text, status).backoff_ms();
   assert_eq!(rest("3", 503), Ok(Some(3_000)));
   assert_eq!(rest(" 0.25 ", 503), Ok(Some(250)));
   assert_eq!(rest("0", 503), Ok(None));
   assert_eq!(rest("1e300", 503), Ok(Some(u64::MAX)));
   assert_eq!(rest("3", 200), Ok(None));
   assert_eq!(rest("3", 421), Ok(None));
-  assert_eq!(said("x-other", "3", 503).rest_ms(), Ok(None));
+  assert_eq!(said("x-other", "3", 503).backoff_ms(), Ok(None));
   for text in [
     "",
     "-1",
