--- a/src/departures.rs
+++ b/src/departures.rs
@@ -5,7 +5,7 @@
 use crate::{
   explain::{self, Line},
   settings::Error,
-  statement::margin,
+  statement::compliance,
 };
 use error_stack::Report;
 use serde_json::Value;
@@ -109,7 +109,7 @@
 
 /// Prints sends after servers announced in a response that they leave, or requested a backoff.
 fn print_announced(lines: &[explain::Line]) {
-  let mut leaving = margin::last_send_after_leaving(lines);
+  let mut leaving = compliance::last_send_after_leaving(lines);
   leaving.sort_by_key(|(.., after_ms)| std::cmp::Reverse(*after_ms));
   println!(
     "{} servers announced that they leave, by instance",
@@ -118,7 +118,7 @@
   for (instance, server, after_ms) in leaving.iter().take(MAX_LISTED) {
     println!("{after_ms:7} ms  last send of {instance} to {server} after the announcement");
   }
-  let mut backoffs = margin::sends_during_backoff(lines);
+  let mut backoffs = compliance::sends_during_backoff(lines);
   backoffs.sort_by_key(|(.., count)| std::cmp::Reverse(*count));
   println!(
     "{} servers requested a backoff, by instance",
--- a/src/statement/mod.rs
+++ b/src/statement/mod.rs
@@ -5,15 +5,15 @@
 //! its life. A rest that it asks
 //! for is between it and this instance. Limits are kept by `limit`, and what all instances may send there by `quota`.
 
+pub mod compliance;
 mod exchange;
+mod hints;
 mod leaving;
-pub mod margin;
 mod rest;
-mod said;
 
+pub use hints::{Hints, MISDIRECTED_REQUEST, Reply};
 pub use leaving::Leaving;
 pub(crate) use rest::Backoffs;
-pub use said::{Hints, MISDIRECTED_REQUEST, Reply};
 
 use crate::life::Life;
 use serde::{Deserialize, Serialize};
--- a/tests/departures.rs
+++ b/tests/departures.rs
@@ -3,7 +3,7 @@
 use bendsaddle::{
   departures::{LastSend, histogram, last_sends},
   explain::Line,
-  statement::margin::{last_send_after_leaving, sends_during_backoff},
+  statement::compliance::{last_send_after_leaving, sends_during_backoff},
 };
 
 /// A line of an instance at some seconds, with more fields.
