--- a/src/feed/batch.rs
+++ b/src/feed/batch.rs
@@ -1,17 +1,17 @@
-//! Changes that one instance has read of the store, for the others.
+//! Changes that one instance read from the store, as sent to other instances.
 
 use crate::store::{Object, Revision};
 use serde::{Deserialize, Serialize};
 
-/// Bytes of objects that one batch carries at the most: it goes as a datagram.
-const BATCH_BYTES: usize = 48 << 10;
+/// Maximum size of the objects in a batch, which must fit in one datagram.
+const MAX_BATCH_BYTES: usize = 48 << 10;
 
-/// Changes of a kind as the instance that watches for others read them.
+/// Changes to a kind, as read by the instance that watches on behalf of others.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Batch {
-  /// The last change that mattered before these.
+  /// Revision of the last relevant change before these.
   pub since: Revision,
-  /// All of these came after this revision, and up to the next one.
+  /// The changes came after this revision, up to and including `revision`.
   pub after: Revision,
   pub revision: Revision,
   pub changes: Vec<Change>,
@@ -23,13 +23,13 @@
   pub name: String,
   pub revision: Revision,
   pub removed: bool,
-  /// Its content, JSON.
+  /// Content of the object as JSON.
   pub spec: String,
 }
 
 impl Batch {
-  /// The changes as a batch; none when they are too large for a datagram.
-  pub(super) fn open(
+  /// Builds a batch; `None` if the changes do not fit in a datagram.
+  pub(super) fn new(
     since: Revision,
     (after, revision): (Revision, Revision),
     objects: &[(Object, bool)],
@@ -45,7 +45,7 @@
       .iter()
       .map(|change| change.name.len() + change.spec.len())
       .sum();
-    (bytes <= BATCH_BYTES).then_some(Self {
+    (bytes <= MAX_BATCH_BYTES).then_some(Self {
       since,
       after,
       revision,
@@ -53,14 +53,14 @@
     })
   }
 
-  /// Whether it goes on from what is known up to a revision. Where a part of it is known
-  /// already it does not: a removal names its object's last change, so the parts cannot be
-  /// told from each other.
+  /// Whether the batch continues from a known revision. It does not if part of it is already known:
+  /// a removal carries the revision of its object's last change, so known and new changes cannot be
+  /// told apart.
   pub(super) fn follows(&self, revision: Revision) -> bool {
     (self.since..=self.after).contains(&revision)
   }
 
-  /// The changed objects; none when the batch is not understood.
+  /// Decodes the changed objects; `None` if one cannot be parsed.
   pub(super) fn objects(&self) -> Option<Vec<(Object, bool)>> {
     let object = |change: &Change| {
       let object = Object {
--- a/src/feed/gate.rs
+++ b/src/feed/gate.rs
@@ -1,5 +1,6 @@
-//! Who asks the store for a kind's changes: one instance watches for many, and each of the
-//! others asks by itself when that one's updates are old or name a change that it lacks.
+//! Decides which instances call the store for changes to a kind. One instance watches for many;
+//! each other one calls the store itself when that instance's updates are too old or name a change
+//! that it is missing.
 
 use crate::{
   clock::Moment, feed::Batch, hub::lock, reachability::Reachability, socket::Waker, store::Object,
@@ -12,331 +13,349 @@
   time::Duration,
 };
 
-/// What another instance knows counts for this long after the moment as of which it is
-/// confirmed; then this one watches by itself. With the holder's watches of 300 ms, its pause
-/// after changes and its updates every 500 ms it is renewed within 1.2 s; with the watch that
-/// follows, a change that the holder does not hear of arrives within 1.5 s, and deployments
-/// give two.
-const STALE: Duration = Duration::from_millis(1_300);
+/// Maximum age of another instance's progress, from the moment as of which it is confirmed; beyond
+/// it this instance watches the store itself. With the holder's 300 ms watches, its pause after
+/// changes and its updates every 500 ms, progress is renewed within 1.2 s. With the watch that
+/// follows, a change that the holder does not receive arrives within 1.5 s; deployments allow 2 s.
+const MAX_PROGRESS_AGE: Duration = Duration::from_millis(1_300);
 
-/// A change that the holder named is waited for this long, ms; then this instance watches
-/// by itself: its datagram was lost, or was too large for one.
-const BATCH: Duration = Duration::from_millis(50);
+/// Time to wait for a change that the holder announced. After that this instance watches the store
+/// itself, because the datagram was lost or the change was too large for one.
+const BATCH_TIMEOUT: Duration = Duration::from_millis(50);
 
-/// Batches kept that do not fit yet.
-const OFFERED: usize = 16;
+/// Maximum number of received batches kept until they apply.
+const MAX_RECEIVED_BATCHES: usize = 16;
 
-/// The next call, or what takes its place.
+/// The next call to the store, or the event that replaces it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum Next {
-  /// Read everything.
-  All,
-  /// Watch from a revision; `soon`: an answer is needed at once.
-  Watch { revision: Revision, soon: bool },
-  /// Take up what another instance read.
-  Take(Batch),
-  /// The store answers the instance that watches for this one again.
-  Reached,
+  /// List all objects.
+  List,
+  /// Watch from a revision; `immediate` if a response is needed at once.
+  Watch { revision: Revision, immediate: bool },
+  /// Apply changes that another instance read.
+  Apply(Batch),
+  /// The instance that watches on behalf of this one reaches the store again.
+  Reachable,
 }
 
-/// How far an instance has followed a kind, for the others.
+/// How far an instance has followed a kind, as sent to other instances.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Progress {
-  /// The store's revision up to which everything is known.
+  /// Store revision up to which everything is known.
   pub revision: Revision,
-  /// Revision of the last change that matters to others.
+  /// Revision of the last change that is relevant to other instances.
   pub changed: Revision,
-  /// Since the moment as of which all changes are known, ms.
+  /// Age in ms of the moment as of which all changes are known.
   pub age_ms: u64,
 }
 
-/// What an answer of the store shows.
+/// What a response of the store confirms.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) struct Answer {
+pub(super) struct Confirmation {
   /// All changes up to this revision are known.
   pub(super) revision: Revision,
-  /// Some of them matter to others.
-  pub(super) matters: bool,
-  /// All changes that the store had acknowledged by then are among them.
-  pub(super) confirmed: Moment,
-  /// When the call was begun.
-  pub(super) began: Moment,
+  /// Whether any of the changes is relevant to other instances.
+  pub(super) relevant: bool,
+  /// All changes that the store had acknowledged by this moment are included.
+  pub(super) confirmed_at: Moment,
+  /// Start of the call.
+  pub(super) started_at: Moment,
 }
 
 #[derive(Debug, Default)]
 struct State {
   revision: Revision,
   changed: Revision,
-  /// The moment as of which all changes are known here. It comes of the calls that read
-  /// them and of nothing else: while a holder's watch was held up, the renewals of its
-  /// lease made what it knew look 750 ms old, and all others were 1.74 s late with it.
-  confirmed: Option<Moment>,
-  /// The same, taken at the worst: a call confirms what it brings as of its begin, another
-  /// instance what it says as of the question that it answers. A datagram that waited in a
-  /// socket while this process stood still, or a watch that was cut, makes nothing look fresh.
-  sure: Option<Moment>,
-  /// Another instance's progress, and as of when it is confirmed.
+  /// Moment as of which all changes are known. Only calls that read changes set it: when lease
+  /// renewals set it too, a holder with a delayed watch appeared 750 ms old, and all other
+  /// instances were 1.74 s late.
+  confirmed_at: Option<Moment>,
+  /// Conservative form of `confirmed_at`: a call confirms changes as of its start, and another
+  /// instance's answer confirms them as of the question. A datagram that waited in a socket while
+  /// this process was suspended, or an interrupted watch, does not make the state look fresh.
+  guaranteed_at: Option<Moment>,
+  /// Another instance's progress, and the moment as of which it is confirmed.
   holder: Option<(Progress, Moment)>,
-  /// This instance must watch by itself: others go by its progress.
-  leads: bool,
-  /// Changes that did not matter were passed over: all is to be read.
-  skipped: bool,
-  /// Read here, for the other instances.
-  published: Vec<Batch>,
-  /// Read by the instance that watches for this one.
-  offered: VecDeque<Batch>,
-  /// Since when a change is known to be lacking.
-  lacking: Option<Moment>,
-  /// This instance went by another one's progress until its last call.
-  followed: bool,
+  /// This instance must watch the store itself because others rely on its progress.
+  leading: bool,
+  /// Irrelevant changes were skipped, so all objects must be listed.
+  needs_list: bool,
+  /// Changes read here for other instances and not yet taken for sending.
+  unpublished: Vec<Batch>,
+  /// Batches from the instance that watches on behalf of this one.
+  received: VecDeque<Batch>,
+  /// When a missing change was first noticed.
+  missing_since: Option<Moment>,
+  /// This instance relied on another one's progress until its last call.
+  followed_holder: bool,
 }
 
 impl State {
-  /// Everything up to a revision is known. All of a new era matters: others that know an earlier
-  /// one know nothing of it.
-  fn take(&mut self, revision: Revision, matters: bool) {
-    let new = revision.era > self.revision.era;
+  /// Records that everything up to a revision is known. A new era is always relevant, because
+  /// instances that only know an earlier era know none of its objects.
+  fn advance(&mut self, revision: Revision, relevant: bool) {
+    let new_era = revision.era > self.revision.era;
     self.revision = self.revision.max(revision);
-    if matters || new {
+    if relevant || new_era {
       self.changed = self.changed.max(revision);
     }
   }
 
-  /// The next batch that goes on from what is known here.
+  /// Returns the next batch that continues from the known revision.
   fn next_batch(&mut self) -> Option<Batch> {
     let revision = self.revision;
-    self.offered.retain(|batch| batch.revision > revision);
+    self.received.retain(|batch| batch.revision > revision);
     let next = self
-      .offered
+      .received
       .iter()
       .position(|batch| batch.follows(revision))?;
-    // What did not matter to its reader may be missing before it.
-    self.skipped = true;
-    self.offered.remove(next)
+    // The batch may omit earlier changes that were irrelevant to its reader.
+    self.needs_list = true;
+    self.received.remove(next)
   }
 
-  /// Takes up as of when the holder's progress is confirmed, where nothing of it is lacking.
-  fn confirm_holder(&mut self) {
-    let Some((progress, confirmed)) = self.holder else {
+  /// Adopts the confirmation of the holder's progress if no change of it is missing.
+  fn adopt_holder_confirmation(&mut self) {
+    let Some((progress, confirmed_at)) = self.holder else {
       return;
     };
     if progress.changed <= self.revision {
-      self.confirmed = self.confirmed.max(Some(confirmed));
+      self.confirmed_at = self.confirmed_at.max(Some(confirmed_at));
     }
   }
 
-  /// Whether another instance's progress still counts, and for how long.
-  fn fresh(&self) -> Option<(Progress, Duration)> {
-    let (progress, confirmed) = self.holder?;
-    let left = STALE.checked_sub(confirmed.elapsed())?;
-    Some((progress, left))
+  /// Returns another instance's progress while it is valid, and how long it remains so.
+  fn valid_holder(&self) -> Option<(Progress, Duration)> {
+    let (progress, confirmed_at) = self.holder?;
+    let remaining = MAX_PROGRESS_AGE.checked_sub(confirmed_at.elapsed())?;
+    Some((progress, remaining))
   }
 }
 
-/// Lets one instance watch a kind for many: the others watch by themselves only
-/// when its progress names a change that they do not know of, or is not confirmed any more.
+/// Lets one instance watch a kind for many: the others watch the store themselves only when its
+/// progress names a change that they are missing, or is no longer confirmed.
 #[derive(Debug, Default)]
 pub struct Gate {
   state: Mutex<State>,
   changed: Condvar,
-  /// Rings when there is something to publish.
-  bell: OnceLock<Arc<Waker>>,
-  contact: Arc<Reachability>,
+  /// Woken when there are changes to publish.
+  waker: OnceLock<Arc<Waker>>,
+  reachability: Arc<Reachability>,
 }
 
 impl Gate {
-  /// A gate of an instance that hears of the store's answers also otherwise.
-  pub fn new(contact: Arc<Reachability>) -> Self {
+  /// Creates a gate for an instance that also learns from other sources whether the store responds.
+  pub fn new(reachability: Arc<Reachability>) -> Self {
     Self {
-      contact,
+      reachability,
       ..Self::default()
     }
   }
 
-  /// Rings `bell` when there is something to publish.
-  pub fn set_waker(&self, bell: Arc<Waker>) {
-    // The first one stays.
-    let _ = self.bell.set(bell);
+  /// Sets the waker for changes to publish.
+  pub fn set_waker(&self, waker: Arc<Waker>) {
+    // The first waker is kept.
+    let _ = self.waker.set(waker);
   }
 
-  /// What other instances go by.
+  /// Returns the progress that other instances rely on.
   pub fn progress(&self) -> Progress {
     let state = lock(&self.state);
-    let age = state.confirmed.map(|confirmed| confirmed.elapsed());
+    let age = state
+      .confirmed_at
+      .map(|confirmed_at| confirmed_at.elapsed());
     Progress {
       revision: state.revision,
       changed: state.changed,
-      // Before the first answer nothing is known.
+      // Nothing is known before the first response.
       age_ms: age.map_or(u64::MAX, |age| age.as_millis() as u64),
     }
   }
 
-  /// Takes up another instance's progress.
+  /// Processes another instance's progress.
   pub fn receive_progress(&self, progress: Progress) {
     let mut state = lock(&self.state);
     if progress.revision.era < state.revision.era {
-      // It does not know yet that the store came back from a copy.
+      // The sender does not know yet that the store was restored from a copy.
       return;
     }
     let age = Duration::from_millis(progress.age_ms);
-    let Some(confirmed) = Moment::now().checked_sub(age).filter(|_| age < STALE) else {
+    let Some(confirmed_at) = Moment::now()
+      .checked_sub(age)
+      .filter(|_| age < MAX_PROGRESS_AGE)
+    else {
       return;
     };
-    // Of two instances the one counts that knows more, or knows it as of a later moment.
-    let counts =
-      |(known, since): &(Progress, Moment)| confirmed >= *since || progress.changed > known.changed;
-    if !state.holder.as_ref().is_none_or(counts) {
+    // Of two instances, prefers the one with more changes or a later confirmation.
+    let is_preferred = |(known, since): &(Progress, Moment)| {
+      confirmed_at >= *since || progress.changed > known.changed
+    };
+    if !state.holder.as_ref().is_none_or(is_preferred) {
       return;
     }
     if progress.changed <= state.revision {
-      // Nothing between that matters here.
-      state.skipped |= progress.revision > state.revision;
+      // No change in between is relevant here.
+      state.needs_list |= progress.revision > state.revision;
       state.revision = state.revision.max(progress.revision);
     }
-    state.holder = Some((progress, confirmed));
-    state.confirm_holder();
-    self.contact.record_response(confirmed);
+    state.holder = Some((progress, confirmed_at));
+    state.adopt_holder_confirmation();
+    self.reachability.record_response(confirmed_at);
     self.changed.notify_all();
   }
 
-  /// Takes up another instance's answer to a question that was asked at a moment: how far it
-  /// has followed, and since when it surely knows all changes.
-  pub fn record_peer_confirmation(&self, asked: Moment, progress: Progress, sure_age: Duration) {
+  /// Processes another instance's answer to a question sent at `requested_at`: its progress, and
+  /// the age of the moment as of which it is guaranteed to know all changes.
+  pub fn record_peer_confirmation(
+    &self,
+    requested_at: Moment,
+    progress: Progress,
+    guaranteed_age: Duration,
+  ) {
     let mut state = lock(&self.state);
-    let Some(sure) = asked.checked_sub(sure_age) else {
+    let Some(guaranteed_at) = requested_at.checked_sub(guaranteed_age) else {
       return;
     };
     if progress.changed <= state.revision {
-      state.sure = state.sure.max(Some(sure));
+      state.guaranteed_at = state.guaranteed_at.max(Some(guaranteed_at));
     }
   }
 
-  /// Since the moment as of which everything is surely known here; none: nothing is.
+  /// Age of the moment as of which all changes are guaranteed to be known; `None` if there is none.
   pub fn guaranteed_age(&self) -> Option<Duration> {
-    lock(&self.state).sure.map(|sure| sure.elapsed())
+    lock(&self.state)
+      .guaranteed_at
+      .map(|guaranteed_at| guaranteed_at.elapsed())
   }
 
-  /// Whether others go by this instance's progress.
-  pub fn set_leading(&self, leads: bool) {
+  /// Sets whether other instances rely on this instance's progress.
+  pub fn set_leading(&self, leading: bool) {
     let mut state = lock(&self.state);
-    if state.leads != leads {
-      state.leads = leads;
+    if state.leading != leading {
+      state.leading = leading;
       self.changed.notify_all();
     }
   }
 
-  /// Whether others go by this instance's progress now.
-  pub(super) fn leads(&self) -> bool {
-    lock(&self.state).leads
+  /// Whether other instances currently rely on this instance's progress.
+  pub(super) fn is_leading(&self) -> bool {
+    lock(&self.state).leading
   }
 
-  /// When the store answered anybody.
-  pub(super) fn contact(&self) -> &Reachability {
-    &self.contact
+  /// The record of the store's responses to any instance.
+  pub(super) fn reachability(&self) -> &Reachability {
+    &self.reachability
   }
 
-  /// Takes up changes that the instance that watches for this one has read.
+  /// Processes changes read by the instance that watches on behalf of this one.
   pub fn receive_batch(&self, batch: Batch) {
     let mut state = lock(&self.state);
-    if state.leads {
+    if state.leading {
       return;
     }
-    state.offered.push_back(batch);
-    if state.offered.len() > OFFERED {
-      state.offered.pop_front();
+    state.received.push_back(batch);
+    if state.received.len() > MAX_RECEIVED_BATCHES {
+      state.received.pop_front();
     }
     self.changed.notify_all();
   }
 
-  /// Changes read here that other instances have not been sent.
+  /// Takes the changes read here that were not yet sent to other instances.
   pub fn take_published(&self) -> Vec<Batch> {
-    std::mem::take(&mut lock(&self.state).published)
+    std::mem::take(&mut lock(&self.state).unpublished)
   }
 
-  /// Waits until a call is needed, or changes were offered, and says which; `failed`: when
-  /// the last call was begun, if it failed.
+  /// Waits until a call is needed or a batch applies, and returns which. `failed` is the start of
+  /// the last call if it failed.
   pub(super) fn wait(&self, failed: Option<Moment>) -> Next {
     let mut state = lock(&self.state);
     loop {
-      if state.leads && state.skipped {
-        state.skipped = false;
-        return Next::All;
+      if state.leading && state.needs_list {
+        state.needs_list = false;
+        return Next::List;
       }
       let revision = state.revision;
-      if state.leads {
+      if state.leading {
         return Next::Watch {
           revision,
-          soon: false,
+          immediate: false,
         };
       }
-      let Some((progress, mut left)) = state.fresh() else {
-        // Others learn from the answer that it is not the store that has fallen silent.
-        let soon = std::mem::take(&mut state.followed);
-        return Next::Watch { revision, soon };
+      let Some((progress, mut timeout)) = state.valid_holder() else {
+        // The response shows other instances that the store itself is still available.
+        let immediate = std::mem::take(&mut state.followed_holder);
+        return Next::Watch {
+          revision,
+          immediate,
+        };
       };
-      state.followed = true;
-      // Before what was read after a silence, for that says which removals count.
-      if failed.is_some_and(|failed| self.contact.responded_since(failed)) {
-        return Next::Reached;
+      state.followed_holder = true;
+      // Reported before changes read after an outage, because it determines which removals count.
+      if failed.is_some_and(|failed| self.reachability.responded_since(failed)) {
+        return Next::Reachable;
       }
       if let Some(batch) = state.next_batch() {
-        state.lacking = None;
-        return Next::Take(batch);
+        state.missing_since = None;
+        return Next::Apply(batch);
       }
       if progress.changed > state.revision {
-        let lacking = state.lacking.get_or_insert_with(Moment::now).elapsed();
-        let Some(patience) = BATCH.checked_sub(lacking) else {
-          state.lacking = None;
+        let missing_for = state
+          .missing_since
+          .get_or_insert_with(Moment::now)
+          .elapsed();
+        let Some(remaining) = BATCH_TIMEOUT.checked_sub(missing_for) else {
+          state.missing_since = None;
           return Next::Watch {
             revision,
-            soon: true,
+            immediate: true,
           };
         };
-        left = left.min(patience);
+        timeout = timeout.min(remaining);
       }
-      let waited = self.changed.wait_timeout(state, left);
+      let waited = self.changed.wait_timeout(state, timeout);
       state = waited.map_or_else(|poisoned| poisoned.into_inner().0, |waited| waited.0);
     }
   }
 
-  /// What came of a call.
-  pub(super) fn answered(&self, answer: Answer) {
+  /// Records what a response of the store confirms.
+  pub(super) fn record_response(&self, confirmation: Confirmation) {
     let mut state = lock(&self.state);
-    state.take(answer.revision, answer.matters);
-    state.confirmed = state.confirmed.max(Some(answer.confirmed));
-    state.sure = state.sure.max(Some(answer.began));
+    state.advance(confirmation.revision, confirmation.relevant);
+    state.confirmed_at = state.confirmed_at.max(Some(confirmation.confirmed_at));
+    state.guaranteed_at = state.guaranteed_at.max(Some(confirmation.started_at));
   }
 
-  /// Changes that were offered are known now.
-  pub(super) fn taken(&self, revision: Revision, matters: bool) {
+  /// Records that the changes of a received batch are known.
+  pub(super) fn record_batch(&self, revision: Revision, relevant: bool) {
     let mut state = lock(&self.state);
-    state.take(revision, matters);
-    state.confirm_holder();
+    state.advance(revision, relevant);
+    state.adopt_holder_confirmation();
   }
 
-  /// Keeps what was read here for the other instances, where they go by it.
+  /// Keeps changes read here for the other instances if they rely on this one.
   pub(super) fn publish(&self, range: (Revision, Revision), objects: &[(Object, bool)]) {
     let mut state = lock(&self.state);
-    if !state.leads {
+    if !state.leading {
       return;
     }
-    // One that knows an earlier era lacks more than these.
+    // An instance that knows an earlier era is missing more than these changes.
     let since = state.changed.max(Revision::first(range.0.era));
-    let batch = Batch::open(since, range, objects);
-    state.published.extend(batch);
+    let batch = Batch::new(since, range, objects);
+    state.unpublished.extend(batch);
   }
 
-  /// Rings for what there is to publish, once it is known here.
-  pub(super) fn announce(&self) {
-    if let (true, Some(bell)) = (self.leads(), self.bell.get()) {
-      bell.wake();
+  /// Wakes the publisher once the changes are known here.
+  pub(super) fn wake_publisher(&self) {
+    if let (true, Some(waker)) = (self.is_leading(), self.waker.get()) {
+      waker.wake();
     }
   }
 
-  /// Since the moment as of which everything is known here; none: nothing is.
+  /// Age of the moment as of which all changes are known; `None` before the first response.
   pub fn age(&self) -> Option<Duration> {
     lock(&self.state)
-      .confirmed
-      .map(|confirmed| confirmed.elapsed())
+      .confirmed_at
+      .map(|confirmed_at| confirmed_at.elapsed())
   }
 }
--- a/src/feed/mod.rs
+++ b/src/feed/mod.rs
@@ -1,5 +1,5 @@
-//! Follows a kind of the store's objects: reads all, then watches, and begins
-//! again when the history is gone.
+//! Follows one kind of objects in the store: lists all, then watches for changes, and lists again
+//! when the store no longer has the history.
 
 mod batch;
 mod gate;
@@ -14,56 +14,58 @@
 use slog::{Logger, info, warn};
 use std::{collections::BTreeMap, thread, time::Duration};
 
-/// Longest wait of one watch. A waiting watch counts as a call: while a holder is turned away
-/// 69 instances watch by themselves. But one whose connection or store has fallen silent is
-/// never answered, and hides all changes until its time, and a second more, is over: 2.8 s,
-/// less than the 3 s after which deployments count an instance as in touch again.
-const WATCH: Duration = Duration::from_millis(1_800);
-/// The same where others go by what is read here: each answer, also one without changes,
-/// confirms what they know (`gate::STALE`).
-const LEADING_WATCH: Duration = Duration::from_millis(300);
-/// Wait of the first watch after a failure: it only shows that the store answers.
-const FIRST: Duration = Duration::from_millis(1);
-/// The store was silent when calls failed and nothing was heard of it for this long: shorter
-/// than the three heartbeats, of a bit more than a second each, after which entries of
-/// servers lapse.
+/// Timeout of one watch. It is long because a pending watch counts as a call, and 69 instances
+/// watch on their own while a holder is refused. A watch on a dead connection or store gets no
+/// response and delays changes until one second after its timeout, 2.8 s in total, which is less
+/// than the 3 s after which deployments count an instance as reachable again.
+const WATCH_TIMEOUT: Duration = Duration::from_millis(1_800);
+/// Watch timeout where other instances rely on this one: each response, even one without changes,
+/// confirms what they know (`gate::MAX_PROGRESS_AGE`).
+const LEADING_WATCH_TIMEOUT: Duration = Duration::from_millis(300);
+/// Timeout of the first watch after a failure, which only checks that the store responds.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(1);
+/// The store counts as unavailable when calls failed and no response was seen for this long. This
+/// is shorter than the three heartbeats, of slightly more than a second each, after which server
+/// entries expire.
 pub const OUTAGE_THRESHOLD: Duration = Duration::from_millis(3_100);
-/// Pause after changes, so that changes made together come in one answer: 69 instances that
-/// watch by themselves made 6,390 calls in a day with 150 ms, 4,359 with 250 ms.
-const GATHER: Duration = Duration::from_millis(400);
-/// The same where others go by what is read here: part of the time in which it is confirmed.
-const LEADING_GATHER: Duration = Duration::from_millis(150);
-/// Pause after a failure, doubled for each further one, and its most.
-const RETRY: Duration = Duration::from_millis(100);
-const RETRY_MOST: Duration = Duration::from_millis(800);
+/// Pause after changes, so that changes made together arrive in one response: 69 instances that
+/// watch on their own made 6,390 calls a day with 150 ms and 4,359 with 250 ms.
+const COALESCE_PAUSE: Duration = Duration::from_millis(400);
+/// Shorter pause where other instances rely on this one, because it is part of the time within
+/// which their progress must be confirmed.
+const LEADING_COALESCE_PAUSE: Duration = Duration::from_millis(150);
+/// Delay after a failure, doubled for each further failure up to the maximum.
+const RETRY_DELAY: Duration = Duration::from_millis(100);
+const MAX_RETRY_DELAY: Duration = Duration::from_millis(800);
 
-/// Parts of that pause between which each instance draws its own.
-const SPREAD: std::ops::Range<f64> = 0.5..1.5;
+/// Range of the random factor that each instance applies to its retry delay.
+const RETRY_JITTER: std::ops::Range<f64> = 0.5..1.5;
 
-/// Status of a call beyond the store's rate: the store is there.
-const TOO_MANY: u16 = 429;
-/// One of so many failures in a row is logged.
-const FAILURES_LOGGED: u32 = 4;
+/// Status of a call beyond the store's rate limit; it shows that the store is reachable.
+const TOO_MANY_REQUESTS: u16 = 429;
+/// One in this many consecutive failures is logged.
+const FAILURES_PER_LOG_LINE: u32 = 4;
 
-/// What has happened to a kind.
+/// A change to the followed kind, or to the reachability of the store.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-  /// All objects there are.
+  /// All current objects.
   Listed(Vec<Object>),
-  /// Objects that changed, and whether each was removed.
+  /// Objects that changed, each with whether it was removed.
   Changed(Vec<(Object, bool)>),
-  /// The store does not answer; what is known may be old.
+  /// The store does not respond, so known objects may be out of date.
   Unreachable,
-  /// It answers again.
+  /// The store responds again.
   Reachable(Outage),
-  /// It came back from an older copy: all objects that follow may be older than those known.
+  /// The store was restored from an older copy, so objects that follow may be older than known
+  /// ones.
   Restored,
-  /// All that the store had acknowledged when it was back has been given.
+  /// Everything that the store had acknowledged when it became reachable again was delivered.
   CaughtUp,
 }
 
 impl Event {
-  /// Objects that it brings.
+  /// Number of objects in the event.
   fn count(&self) -> usize {
     match self {
       Self::Listed(objects) => objects.len(),
@@ -73,236 +75,250 @@
   }
 }
 
-/// Logs where changes that matter came from, and how old what was known before was.
-fn note(
+/// Logs the source of relevant changes and the age of the state before them.
+fn log_changes(
   log: &Logger,
   kind: &str,
   source: &str,
   (revision, count): (Revision, usize),
   age: Option<Duration>,
 ) {
-  info!(log, "changes taken"; "kind" => kind, "source" => source, "revision" => %revision,
+  info!(log, "changes applied"; "kind" => kind, "source" => source, "revision" => %revision,
     "count" => count, "age_ms" => age.map(|age| age.as_millis() as u64));
 }
 
-/// Follows a kind for ever; `matters` says whether others need an object that has changed, or
-/// was removed, and `take` whether they need anything of an event.
+/// Follows a kind forever. `is_relevant` tells whether other instances need an object that was
+/// changed (`false`) or removed (`true`); `handle` processes an event and tells whether other
+/// instances need any of it.
 pub fn follow(
   store: &Store,
   kind: &str,
   gate: &Gate,
   log: &Logger,
-  matters: impl Fn(&Object, bool) -> bool,
-  take: impl FnMut(Event) -> bool,
+  is_relevant: impl Fn(&Object, bool) -> bool,
+  handle: impl FnMut(Event) -> bool,
 ) -> ! {
   let mut feed = Feed {
     store,
     kind,
     gate,
     log,
-    matters,
-    take,
-    from: None,
-    unread: false,
+    is_relevant,
+    handle,
+    known_revision: None,
+    needs_list: false,
     failures: 0,
-    failed: None,
-    lost: None,
-    back: None,
+    last_failure: None,
+    first_failure: None,
+    recovered_at: None,
   };
   loop {
     feed.step();
   }
 }
 
-/// A kind that is followed.
+/// State of following one kind.
 struct Feed<'a, M, T> {
   store: &'a Store,
   kind: &'a str,
   gate: &'a Gate,
   log: &'a Logger,
-  matters: M,
-  take: T,
-  /// Up to which revision changes are known; none: nothing was read yet.
-  from: Option<Revision>,
-  /// The next call reads everything: a watch is of no use.
-  unread: bool,
-  /// Failed calls in a row, and when the last one was begun.
+  is_relevant: M,
+  handle: T,
+  /// Revision up to which changes are known; `None` before the first list.
+  known_revision: Option<Revision>,
+  /// The next call must list all objects because a watch is not enough.
+  needs_list: bool,
+  /// Consecutive failed calls, and the start of the last one.
   failures: u32,
-  failed: Option<Moment>,
-  /// When the first of them was begun.
-  lost: Option<Moment>,
-  /// When the store was back, while something that it had acknowledged before may be lacking.
-  back: Option<Moment>,
+  last_failure: Option<Moment>,
+  /// Start of the first of these failed calls.
+  first_failure: Option<Moment>,
+  /// When the store became reachable again; reset once all changes that it had acknowledged by then
+  /// are known.
+  recovered_at: Option<Moment>,
 }
 
-/// What a call brought.
-struct Answered {
+/// Result of a successful call.
+struct Response {
   event: Event,
   revision: Revision,
-  /// As of when all changes are known by it.
-  confirmed: Moment,
-  began: Moment,
+  /// Moment as of which all changes are known.
+  confirmed_at: Moment,
+  started_at: Moment,
   source: &'static str,
-  /// Since what was known before was confirmed.
+  /// Time since the previous state was confirmed.
   age: Option<Duration>,
 }
 
 impl<M: Fn(&Object, bool) -> bool, T: FnMut(Event) -> bool> Feed<'_, M, T> {
   fn step(&mut self) {
-    let next = match self.from {
-      None => Next::All,
-      Some(_) => self.gate.wait(self.failed),
+    let next = match self.known_revision {
+      None => Next::List,
+      Some(_) => self.gate.wait(self.last_failure),
     };
     match next {
-      Next::Take(batch) => self.take_batch(batch),
-      Next::Reached => self.back(),
-      Next::All => self.read(),
-      Next::Watch { .. } if self.unread => self.read(),
-      Next::Watch { revision, soon } => self.watch(revision, soon),
+      Next::Apply(batch) => self.apply_batch(batch),
+      Next::Reachable => self.record_recovery(),
+      Next::List => self.list(),
+      Next::Watch { .. } if self.needs_list => self.list(),
+      Next::Watch {
+        revision,
+        immediate,
+      } => self.watch(revision, immediate),
     }
   }
 
-  fn take_batch(&mut self, batch: Batch) {
+  fn apply_batch(&mut self, batch: Batch) {
     let Some(objects) = batch.objects() else {
-      warn!(self.log, "batch not understood"; "kind" => self.kind, "revision" => %batch.revision);
+      warn!(self.log, "batch could not be decoded"; "kind" => self.kind, "revision" => %batch.revision);
       return;
     };
     let (count, age) = (objects.len(), self.gate.age());
-    let known = |back: &Moment| age.is_some_and(|age| age <= back.elapsed());
-    if self.back.take_if(|back| known(back)).is_some() {
-      (self.take)(Event::CaughtUp);
+    let known = |recovered_at: &Moment| age.is_some_and(|age| age <= recovered_at.elapsed());
+    if self
+      .recovered_at
+      .take_if(|recovered_at| known(recovered_at))
+      .is_some()
+    {
+      (self.handle)(Event::CaughtUp);
     }
-    let matters = !objects.is_empty() && (self.take)(Event::Changed(objects));
-    if matters {
-      note(self.log, self.kind, "batch", (batch.revision, count), age);
+    let relevant = !objects.is_empty() && (self.handle)(Event::Changed(objects));
+    if relevant {
+      log_changes(self.log, self.kind, "batch", (batch.revision, count), age);
     }
-    self.from = Some(batch.revision);
-    self.unread = false;
-    self.gate.taken(batch.revision, matters);
+    self.known_revision = Some(batch.revision);
+    self.needs_list = false;
+    self.gate.record_batch(batch.revision, relevant);
   }
 
-  fn read(&mut self) {
-    let (began, age) = (Moment::now(), self.gate.age());
+  fn list(&mut self) {
+    let (started_at, age) = (Moment::now(), self.gate.age());
     match self.store.list_all(self.kind) {
-      Ok((_, revision)) if self.from.is_some_and(|from| revision.era < from.era) => {
-        let error = Error::Malformed(format!("era: `{}` is over", revision.era));
-        self.fail("list", began, &error);
+      Ok((_, revision))
+        if self
+          .known_revision
+          .is_some_and(|known| revision.era < known.era) =>
+      {
+        let error = Error::Malformed(format!("era: `{}` has ended", revision.era));
+        self.record_failure("list", started_at, &error);
       }
-      Ok((objects, revision)) => self.answered(Answered {
+      Ok((objects, revision)) => self.handle_response(Response {
         event: Event::Listed(objects),
         revision,
-        confirmed: began,
-        began,
+        confirmed_at: started_at,
+        started_at,
         source: "list",
         age,
       }),
-      Err(error) => self.fail("list", began, &error),
+      Err(error) => self.record_failure("list", started_at, &error),
     }
   }
 
-  fn watch(&mut self, revision: Revision, soon: bool) {
-    let (began, age) = (Moment::now(), self.gate.age());
-    let wait = match self.gate.leads() {
-      _ if self.failures > 0 || soon => FIRST,
-      true => LEADING_WATCH,
-      false => WATCH,
+  fn watch(&mut self, revision: Revision, immediate: bool) {
+    let (started_at, age) = (Moment::now(), self.gate.age());
+    let timeout = match self.gate.is_leading() {
+      _ if self.failures > 0 || immediate => PROBE_TIMEOUT,
+      true => LEADING_WATCH_TIMEOUT,
+      false => WATCH_TIMEOUT,
     };
-    self.from = Some(revision);
-    match (self.store.watch)(self.kind, revision, wait) {
-      // Numbers were given out again: what it brings is not all that came since.
+    self.known_revision = Some(revision);
+    match (self.store.watch)(self.kind, revision, timeout) {
+      // The store reuses revision numbers after a restore, so these are not all the changes.
       Ok(changes) if changes.revision.era != revision.era => {
-        self.fail("watch", began, &Error::HistoryGone);
+        self.record_failure("watch", started_at, &Error::HistoryGone);
       }
       Ok(changes) => {
-        // Without changes the store waited all the time before it answered.
+        // Without changes, the store responds only after the whole timeout.
         let waited = if changes.objects.is_empty() {
-          wait
+          timeout
         } else {
           Duration::ZERO
         };
-        self.answered(Answered {
+        self.handle_response(Response {
           event: Event::Changed(changes.objects),
           revision: changes.revision,
-          confirmed: Moment::now().min(began + waited),
-          began,
+          confirmed_at: Moment::now().min(started_at + waited),
+          started_at,
           source: "watch",
           age,
         });
       }
-      Err(error) => self.fail("watch", began, &error),
+      Err(error) => self.record_failure("watch", started_at, &error),
     }
   }
 
-  fn answered(&mut self, answered: Answered) {
-    let Answered {
+  fn handle_response(&mut self, response: Response) {
+    let Response {
       event, revision, ..
-    } = answered;
-    self.gate.contact().record_response(Moment::now());
-    self.back();
-    self.unread = false;
-    let after = self.from.replace(revision).unwrap_or(revision);
-    let returned = revision.era > after.era;
-    if returned {
-      info!(self.log, "store is back from a copy"; "kind" => self.kind,
+    } = response;
+    self.gate.reachability().record_response(Moment::now());
+    self.record_recovery();
+    self.needs_list = false;
+    let after = self.known_revision.replace(revision).unwrap_or(revision);
+    let restored = revision.era > after.era;
+    if restored {
+      info!(self.log, "store was restored from an older copy"; "kind" => self.kind,
         "known" => %after, "revision" => %revision);
-      (self.take)(Event::Restored);
+      (self.handle)(Event::Restored);
     }
     let empty = matches!(&event, Event::Changed(objects) if objects.is_empty());
-    let read = match &event {
-      Event::Changed(objects) if !empty => Some(self.needed(objects)),
+    let to_publish = match &event {
+      Event::Changed(objects) if !empty => Some(self.relevant_changes(objects)),
       _ => None,
     };
     let count = event.count();
-    // A list does not show what has changed and changed back since others read.
-    let listed = matches!(&event, Event::Listed(_)) && self.gate.leads();
-    let matters = !empty && (self.take)(event) || listed;
-    if self.back.take().is_some() || returned {
-      (self.take)(Event::CaughtUp);
+    // A list does not show objects that changed and changed back since other instances read them.
+    let listed = matches!(&event, Event::Listed(_)) && self.gate.is_leading();
+    let relevant = !empty && (self.handle)(event) || listed;
+    if self.recovered_at.take().is_some() || restored {
+      (self.handle)(Event::CaughtUp);
     }
-    if matters {
-      note(
+    if relevant {
+      log_changes(
         self.log,
         self.kind,
-        answered.source,
+        response.source,
         (revision, count),
-        answered.age,
+        response.age,
       );
     }
-    if let (true, Some(objects)) = (matters, read) {
+    if let (true, Some(objects)) = (relevant, to_publish) {
       self.gate.publish((after, revision), &objects);
     }
-    self.gate.answered(gate::Answer {
+    self.gate.record_response(gate::Confirmation {
       revision,
-      matters,
-      confirmed: answered.confirmed,
-      began: answered.began,
+      relevant,
+      confirmed_at: response.confirmed_at,
+      started_at: response.started_at,
     });
-    if matters {
-      self.gate.announce();
+    if relevant {
+      self.gate.wake_publisher();
     }
     if !empty {
-      thread::sleep(if self.gate.leads() {
-        LEADING_GATHER
+      thread::sleep(if self.gate.is_leading() {
+        LEADING_COALESCE_PAUSE
       } else {
-        GATHER
+        COALESCE_PAUSE
       });
     }
   }
 
-  /// What others need of some changes: where a few of them matter, the rest would take a
-  /// holder's link for seconds. While all went out that one answer brought, the entries of 64
-  /// servers that came back, and of all that loaded meanwhile, held updates up for 1.2 s.
-  fn needed(&self, objects: &[(Object, bool)]) -> Vec<(Object, bool)> {
-    if !self.gate.leads() {
+  /// Selects the changes that other instances need. When only a few are relevant, sending the rest
+  /// would occupy the holder's link for seconds: while all changes of a response were sent, the
+  /// entries of 64 servers that came back, and of all that loaded models meanwhile, delayed updates
+  /// by 1.2 s.
+  fn relevant_changes(&self, objects: &[(Object, bool)]) -> Vec<(Object, bool)> {
+    if !self.gate.is_leading() {
       return Vec::new();
     }
     let mut published: BTreeMap<&str, bool> = BTreeMap::new();
     let needed = objects.iter().filter(|(object, removed)| {
-      // What matters is judged by what was known before this answer: an object that is
-      // published as there or as removed is also published when it ceases to be.
+      // Relevance is judged by the state before this response, so an object that is published as
+      // present or removed must also be published when that changes again.
       let before = published.get(object.name.as_str());
-      let turns = before.is_some_and(|before| before != removed);
-      let needed = turns || (self.matters)(object, *removed);
+      let toggled = before.is_some_and(|before| before != removed);
+      let needed = toggled || (self.is_relevant)(object, *removed);
       if needed {
         published.insert(&object.name, *removed);
       }
@@ -311,56 +327,64 @@
     needed.cloned().collect()
   }
 
-  /// The store answers after calls had failed; a wait without changes is no silence.
-  fn back(&mut self) {
-    self.failed = None;
-    let Some(lost) = self.lost.take() else {
+  /// Records that the store responds after failed calls; a watch that ends without changes is no
+  /// outage.
+  fn record_recovery(&mut self) {
+    self.last_failure = None;
+    let Some(first_failure) = self.first_failure.take() else {
       return;
     };
-    let silence = self.gate.contact().longest_outage(lost);
+    let outage = self.gate.reachability().longest_outage(first_failure);
     info!(self.log, "store is back"; "kind" => self.kind, "failures" => self.failures,
-      "revision" => self.from.map(|from| from.to_string()), "silent_ms" => silence.length.as_millis() as u64,
-      "over_ms" => silence.since_recovery.as_millis() as u64,
-      "failed_ms" => silence.since_failure.as_millis() as u64);
-    (self.take)(Event::Reachable(silence));
-    self.back = Some(Moment::now());
+      "revision" => self.known_revision.map(|known| known.to_string()), "silent_ms" => outage.length.as_millis() as u64,
+      "over_ms" => outage.since_recovery.as_millis() as u64,
+      "failed_ms" => outage.since_failure.as_millis() as u64);
+    (self.handle)(Event::Reachable(outage));
+    self.recovered_at = Some(Moment::now());
     self.failures = 0;
   }
 
-  fn fail(&mut self, call: &str, began: Moment, error: &Error) {
-    if matches!(error, Error::HistoryGone | Error::Refused(TOO_MANY)) {
-      self.gate.contact().record_response(Moment::now());
+  fn record_failure(&mut self, call: &str, started_at: Moment, error: &Error) {
+    if matches!(
+      error,
+      Error::HistoryGone | Error::Refused(TOO_MANY_REQUESTS)
+    ) {
+      self.gate.reachability().record_response(Moment::now());
     } else {
-      self.gate.contact().record_failure(began);
+      self.gate.reachability().record_failure(started_at);
     }
     if *error == Error::HistoryGone {
-      info!(self.log, "history is gone"; "kind" => self.kind, "revision" => self.from.map(|from| from.to_string()));
-      self.unread = true;
+      info!(self.log, "store no longer has the history"; "kind" => self.kind, "revision" => self.known_revision.map(|known| known.to_string()));
+      self.needs_list = true;
       return;
     }
     if self.failures == 0 {
-      self.lost = Some(began);
+      self.first_failure = Some(started_at);
       warn!(self.log, "store is lost"; "kind" => self.kind, "error" => %error,
-        "revision" => self.from.map(|from| from.to_string()));
-      (self.take)(Event::Unreachable);
+        "revision" => self.known_revision.map(|known| known.to_string()));
+      (self.handle)(Event::Unreachable);
     }
-    if self.failures.is_multiple_of(FAILURES_LOGGED) {
+    if self.failures.is_multiple_of(FAILURES_PER_LOG_LINE) {
       info!(self.log, "call failed"; "kind" => self.kind, "call" => call, "error" => %error,
-        "failures" => self.failures, "revision" => self.from.map(|from| from.to_string()),
-        "took_ms" => began.elapsed().as_millis() as u64);
+        "failures" => self.failures, "revision" => self.known_revision.map(|known| known.to_string()),
+        "took_ms" => started_at.elapsed().as_millis() as u64);
     }
     if error.may_have_run() {
-      // A watch that is repeated brings more each time and may never arrive: behind a link
-      // that lost 15% of its packets an instance was 20 s late. All is read instead.
-      self.unread = true;
+      // A repeated watch returns more changes each time and may never complete: behind a link with
+      // 15% packet loss an instance was 20 s late. Listing all objects avoids this.
+      self.needs_list = true;
     }
-    self.failed = Some(began);
-    let pause = (RETRY * (1 << self.failures.min(3))).min(RETRY_MOST);
-    let pause = pause.saturating_sub(began.elapsed()).max(RETRY);
-    // All instances that start together, or lost the store together, must not return together:
-    // 295 that had lost power read the configuration at once, and 1,924 reads got no answer.
-    let pause = pause.mul_f64(rand::random_range(SPREAD));
-    self.gate.contact().wait_for_response(Moment::now(), pause);
+    self.last_failure = Some(started_at);
+    let pause = (RETRY_DELAY * (1 << self.failures.min(3))).min(MAX_RETRY_DELAY);
+    let pause = pause.saturating_sub(started_at.elapsed()).max(RETRY_DELAY);
+    // Instances that start together or lose the store together must not call it at the same time:
+    // after a power loss 295 instances read the configuration at once, and 1,924 reads got no
+    // response.
+    let pause = pause.mul_f64(rand::random_range(RETRY_JITTER));
+    self
+      .gate
+      .reachability()
+      .wait_for_response(Moment::now(), pause);
     self.failures += 1;
   }
 }
