--- a/src/relay/answer.rs
+++ b/src/relay/answer.rs
@@ -1,18 +1,18 @@
-//! A server's answer, passed on to the caller.
+//! Forwards a server's response to the caller.
 
-use super::{Outcome, Relay, outcome, severed};
+use super::{Outcome, Relay, disconnected, outcome};
 use crate::{
   dispatch::{Attempt, End, Event},
   http::{Decoder, Framing, Response},
   socket::{Fill, Socket},
 };
 
-/// Bytes of a plain answer held back until it is whole.
-const HELD: usize = 256 << 10;
+/// Maximum bytes of a plain response held back until it is complete.
+const MAX_HELD_BYTES: usize = 256 << 10;
 
 impl Relay<'_> {
-  /// Passes a stream's events on as they come.
-  pub(super) fn stream(
+  /// Forwards the events of a stream as they arrive.
+  pub(super) fn relay_stream(
     &mut self,
     socket: &mut Socket,
     head: &Response,
@@ -20,51 +20,52 @@
   ) -> Result<Outcome, Outcome> {
     let mut body = Decoder::new(framing);
     let mut bytes = Vec::new();
-    let mut any = false;
+    let mut started = false;
     loop {
       if body.decode(&mut socket.input, &mut bytes).is_err() {
         return Err(outcome(End::Broken, "not an answer"));
       }
-      let whole = self.events.push(&bytes);
+      let complete = self.events.push(&bytes);
       bytes.clear();
-      if !whole.is_empty() {
-        if !std::mem::replace(&mut any, true) && self.first_ms.is_some() {
+      if !complete.is_empty() {
+        if !std::mem::replace(&mut started, true) && self.first_event_at.is_some() {
           self.apply(Event::Resumed(self.ticket));
         }
-        self.clock_event();
-        // A part of an event that follows shows that the stream is not complete.
+        self.record_event();
+        // A partial event after the complete ones shows that the stream is incomplete.
         let last = body.is_complete() && self.events.partial().is_empty();
-        self.deliver(head, framing, &whole, last)?;
+        self.forward(head, framing, &complete, last)?;
       }
       if body.is_complete() {
         if !self.events.partial().is_empty() {
           return Err(outcome(End::Broken, "stream ends within an event"));
         }
-        self.finish(head, framing)?;
+        self.finish_body(head, framing)?;
         return Ok(outcome(End::Whole, "whole stream"));
       }
-      let until = self.stall(any);
-      if self.hear(socket, until)? == Fill::Eof && !body.finish() {
-        return Err(severed("stream broken off"));
+      let until = self.read_deadline(started);
+      if self.read_server(socket, until)? == Fill::Eof && !body.finish() {
+        return Err(disconnected("stream broken off"));
       }
     }
   }
 
-  /// Records when an event came; the first one is the beginning of the answer.
-  fn clock_event(&mut self) {
+  /// Records when an event arrived; the first one starts the response.
+  fn record_event(&mut self) {
     let now = self.hub.now();
-    if self.first_ms.is_some() {
-      self.pause_ms = self.pause_ms.max(now - self.event_ms);
+    if self.first_event_at.is_some() {
+      self.max_gap_ms = self.max_gap_ms.max(now - self.last_event_at);
     }
-    self.event_ms = now;
-    if self.first_ms.is_none() {
-      self.first_ms = Some(now);
+    self.last_event_at = now;
+    if self.first_event_at.is_none() {
+      self.first_event_at = Some(now);
       self.apply(Event::ResponseStarted(self.ticket));
     }
   }
 
-  /// Takes a plain answer in whole before the caller sees any of it.
-  pub(super) fn whole(
+  /// Reads a complete plain response before the caller receives any of it, unless it is too large
+  /// to hold.
+  pub(super) fn relay_plain(
     &mut self,
     socket: &mut Socket,
     head: Response,
@@ -73,7 +74,7 @@
   ) -> Result<Outcome, Outcome> {
     let mut body = Decoder::new(framing);
     let mut bytes = Vec::new();
-    let until = self.stall(false);
+    let until = self.read_deadline(false);
     loop {
       if body.decode(&mut socket.input, &mut bytes).is_err() {
         return Err(outcome(End::Broken, "not an answer"));
@@ -81,33 +82,33 @@
       if body.is_complete() {
         break;
       }
-      if bytes.len() > HELD {
-        self.deliver(&head, framing, &std::mem::take(&mut bytes), false)?;
+      if bytes.len() > MAX_HELD_BYTES {
+        self.forward(&head, framing, &std::mem::take(&mut bytes), false)?;
       }
-      if self.hear(socket, until)? == Fill::Eof && !body.finish() {
-        return Err(severed("answer broken off"));
+      if self.read_server(socket, until)? == Fill::Eof && !body.finish() {
+        return Err(disconnected("answer broken off"));
       }
     }
-    if let Some(result) = self.declined(&head, attempt) {
+    if let Some(result) = self.decline_outcome(&head, attempt) {
       return Ok(result);
     }
     let failed = head.status >= 400;
-    if failed && self.begun.is_some() {
-      // The caller has the start of another answer, which this one is no part of.
+    if failed && self.response_framing.is_some() {
+      // The caller already received the start of another response, which this one cannot continue.
       return Ok(outcome(End::Broken, "server's own failure"));
     }
     if head.status >= 500 {
-      self.held = Some((head, bytes));
+      self.held_failure = Some((head, bytes));
       return Ok(outcome(End::Broken, "server's own failure"));
     }
-    self.give(&head, bytes)?;
+    self.send_response(&head, bytes)?;
     match failed {
       true => Ok(outcome(End::Failed, "server's own failure")),
       false => Ok(outcome(End::Whole, "whole answer")),
     }
   }
 
-  fn declined(&self, head: &Response, attempt: &Attempt) -> Option<Outcome> {
+  fn decline_outcome(&self, head: &Response, attempt: &Attempt) -> Option<Outcome> {
     let dialect = &self.hub.dialect;
     if head.status == 421 {
       let other = head
--- a/src/relay/mod.rs
+++ b/src/relay/mod.rs
@@ -1,4 +1,4 @@
-//! One routed request: from its arrival over its sends to its final answer.
+//! One routed request, from its arrival through its sends to its final response.
 
 mod answer;
 mod caller;
@@ -30,87 +30,87 @@
 };
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Time kept for the final answer when a request's time is over, ms.
-const ANSWER_MS: u64 = 30;
-/// The final answer where the reducer has none.
-const UNANSWERED: Refusal = Refusal {
+/// Time reserved for the final response when a request reaches its deadline.
+const RESPONSE_RESERVE_MS: u64 = 30;
+/// Refusal used if the reducer provides none.
+const FALLBACK_REFUSAL: Refusal = Refusal {
   reason: Reason::NoServer,
   verdict: Verdict::MayHaveRun,
   retry_after: None,
 };
 
-/// A caller's request in whole.
+/// A complete request from a caller.
 pub struct Incoming {
   pub head: Request,
   pub body: Vec<u8>,
   pub route: Arc<Route>,
-  /// When its first byte was read, ms.
+  /// When its first byte was read, in ms.
   pub arrived_at: u64,
-  /// Who sent it, where customers are known.
+  /// The caller, if customers are configured.
   pub caller: Option<Caller>,
 }
 
-/// A request being answered.
+/// A request in progress.
 pub struct Relay<'a> {
   hub: &'a Hub,
   caller: &'a mut Socket,
   incoming: &'a Incoming,
   id: String,
   content: content::Key,
-  until: u64,
+  deadline: u64,
   ticket: Ticket,
-  /// The answer's head has gone to the caller.
-  begun: Option<Framing>,
+  /// Framing of the response whose head was sent to the caller; `None` before that.
+  response_framing: Option<Framing>,
   events: Parser,
-  first_ms: Option<u64>,
-  /// It has waited for a server.
-  waited: bool,
-  /// When events last came, and the longest pause between them, ms.
-  event_ms: u64,
-  pause_ms: u64,
-  /// What the last answer said of its server, and when its head came, ms.
-  said: Hints,
-  head_ms: Option<u64>,
-  /// A server's failure, given to the caller when nothing better comes.
-  held: Option<(Response, Vec<u8>)>,
-  then: Disposition,
+  first_event_at: Option<u64>,
+  /// Whether the request has waited for a server.
+  has_waited: bool,
+  /// When events last arrived, and the longest gap between them, both in ms.
+  last_event_at: u64,
+  max_gap_ms: u64,
+  /// Hints from the last response about its server, and when its head arrived, in ms.
+  hints: Hints,
+  head_at: Option<u64>,
+  /// A server's error response, sent to the caller if no better response follows.
+  held_failure: Option<(Response, Vec<u8>)>,
+  disposition: Disposition,
 }
 
-/// What came of a send, with why.
+/// Result of a send, and the reason for it.
 struct Outcome {
   end: End,
   why: &'static str,
   /// The server's side closed the connection while the request may have been running.
-  severed: bool,
+  disconnected: bool,
 }
 
 fn outcome(end: End, why: &'static str) -> Outcome {
   Outcome {
     end,
     why,
-    severed: false,
+    disconnected: false,
   }
 }
 
-/// A run whose connection the server's side closed.
-fn severed(why: &'static str) -> Outcome {
+/// Outcome of a run whose connection the server's side closed.
+fn disconnected(why: &'static str) -> Outcome {
   Outcome {
-    severed: true,
+    disconnected: true,
     ..outcome(End::Broken, why)
   }
 }
 
-/// What becomes of a caller's connection after an answer.
+/// What happens to a caller's connection after a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Disposition {
-  /// It can carry another request.
+  /// Keep it open for another request.
   Keep,
   Close,
-  /// The answer broke off, and would look whole at an orderly end.
+  /// Reset it: the response was truncated, and an orderly close would make it look complete.
   Reset,
 }
 
-/// Answers a request.
+/// Serves a request.
 pub fn serve(
   hub: &Hub,
   mailbox: &Arc<Mailbox>,
@@ -120,44 +120,44 @@
   let dialect = &hub.dialect;
   let header = |name: &str| incoming.head.headers.get(name);
   let id = header(dialect.request_id).unwrap_or_default().to_string();
-  let asked = header(dialect.deadline_ms).and_then(|text| text.parse::<f64>().ok());
+  let requested_ms = header(dialect.deadline_ms).and_then(|text| text.parse::<f64>().ok());
   let timeout = incoming.route.timeout_ms;
-  let allowed = asked.map_or(timeout, |ms| (ms.max(0.0) as u64).min(timeout));
-  let until = incoming.arrived_at + allowed.saturating_sub(ANSWER_MS);
+  let allowed_ms = requested_ms.map_or(timeout, |ms| (ms.max(0.0) as u64).min(timeout));
+  let deadline = incoming.arrived_at + allowed_ms.saturating_sub(RESPONSE_RESERVE_MS);
   let model = header(dialect.model).map(Model::parse);
   let ticket = hub.ticket(mailbox);
   let content = content::Key::of(&incoming.head, &incoming.body);
   let pool = incoming.route.pool(xxh3_64(id.as_bytes()));
-  let ask = Descriptor {
+  let descriptor = Descriptor {
     ticket,
     id: id.clone(),
     route: incoming.route.clone(),
     pool: pool.unwrap_or_default().to_string(),
     model: model.clone(),
     affinity: affinity(header(dialect.prompt_parts), model.as_ref()),
-    deadline: until,
+    deadline,
     content,
     caller: incoming.caller,
   };
-  let keep = incoming.head.keep_alive() && !hub.stopping.load(Ordering::Relaxed);
+  let keep_alive = incoming.head.keep_alive() && !hub.stopping.load(Ordering::Relaxed);
   let mut relay = Relay {
     hub,
     caller,
     incoming,
     id,
     content,
-    until,
+    deadline,
     ticket,
-    begun: None,
+    response_framing: None,
     events: Parser::default(),
-    first_ms: None,
-    waited: false,
-    event_ms: 0,
-    pause_ms: 0,
-    said: Hints::default(),
-    head_ms: None,
-    held: None,
-    then: if keep {
+    first_event_at: None,
+    has_waited: false,
+    last_event_at: 0,
+    max_gap_ms: 0,
+    hints: Hints::default(),
+    head_at: None,
+    held_failure: None,
+    disposition: if keep_alive {
       Disposition::Keep
     } else {
       Disposition::Close
@@ -166,14 +166,14 @@
   hub.measures.record_request();
   mailbox.waker.clear();
   mailbox.take();
-  hub.apply(Event::Arrived(ask), Some(ticket));
+  hub.apply(Event::Arrived(descriptor), Some(ticket));
   relay.run(mailbox);
   hub.close(ticket);
-  relay.then
+  relay.disposition
 }
 
-/// Equal for requests whose prompts start alike: all parts but the last, which is
-/// the request's own.
+/// Hash that is equal for requests whose prompts share a prefix: all parts but the last, which is
+/// specific to the request.
 fn affinity(parts: Option<&str>, model: Option<&Model>) -> u64 {
   let shared = parts
     .and_then(|parts| parts.rsplit_once(','))
@@ -200,17 +200,17 @@
           }
           mailbox.take()
         }
-        Some(Directive::Wait(until)) => match self.await_change(mailbox, until) {
+        Some(Directive::Wait(until)) => match self.wait_for_directive(mailbox, until) {
           Ok(true) => mailbox.take().or(Some(Directive::Wait(until))),
           Ok(false) => {
             self.apply(Event::Recheck(self.ticket));
             mailbox.take()
           }
-          Err(_) => return self.leave(),
+          Err(_) => return self.record_caller_gone(),
         },
         Some(Directive::Refuse(refusal)) => return self.refuse(refusal),
-        // The reducer answers every event of a ticket it knows.
-        None => return self.refuse(UNANSWERED),
+        // The reducer responds to every event of a ticket that it knows.
+        None => return self.refuse(FALLBACK_REFUSAL),
       }
     }
   }
@@ -219,23 +219,23 @@
     self.hub.apply(event, Some(self.ticket));
   }
 
-  /// Sends the request once; true when that ends it.
+  /// Sends the request once; returns true if that finishes it.
   fn attempt(&mut self, attempt: &Attempt) -> bool {
-    let sent = self.hub.now();
+    let sent_at = self.hub.now();
     let age = self.hub.gates.servers.age();
     let result = self.send(attempt);
-    self.note(attempt, &result, sent, age);
+    self.log_send(attempt, &result, sent_at, age);
     let (ticket, end) = (self.ticket, result.end);
     self.apply(Event::Ended { ticket, end });
     matches!(end, End::Whole | End::Failed | End::Left)
   }
 
-  /// The caller has gone while its request waited.
-  fn leave(&mut self) {
+  /// Records that the caller disconnected while its request waited.
+  fn record_caller_gone(&mut self) {
     self.hub.measures.record_caller_gone();
     info!(self.hub.log, "caller left"; "request" => &self.id, "phase" => "waiting",
       "waited_ms" => self.hub.now() - self.incoming.arrived_at);
-    self.then = Disposition::Close;
+    self.disposition = Disposition::Close;
     self.apply(Event::CallerGone(self.ticket));
   }
 
@@ -243,38 +243,40 @@
     self.incoming.head.headers.get(self.hub.dialect.model)
   }
 
-  /// What of an answer came later than its route allows, for the log.
-  fn late(&self) -> &'static str {
+  /// Names the part of a response that exceeded its route's limits, for the log.
+  fn lateness(&self) -> &'static str {
     let route = &self.incoming.route;
-    let first_ms = self.first_ms.map_or(0, |at| at - self.incoming.arrived_at);
+    let first_ms = self
+      .first_event_at
+      .map_or(0, |at| at - self.incoming.arrived_at);
     match route.stream {
       _ if first_ms > route.objective_ms => "first",
-      Some(stream) if self.pause_ms > stream.gap_ms => "pause",
+      Some(stream) if self.max_gap_ms > stream.gap_ms => "pause",
       _ => "no",
     }
   }
 
-  fn note(&self, attempt: &Attempt, result: &Outcome, sent: u64, age: Option<Duration>) {
+  fn log_send(&self, attempt: &Attempt, result: &Outcome, sent_at: u64, age: Option<Duration>) {
     let now = self.hub.now();
     self.hub.measures.record_send(&measures::Send {
       number: attempt.number,
       end: result.end,
-      waited_ms: sent.saturating_sub(self.incoming.arrived_at),
-      first_ms: self.first_ms.map(|at| at - self.incoming.arrived_at),
-      pause_ms: self.pause_ms,
+      waited_ms: sent_at.saturating_sub(self.incoming.arrived_at),
+      first_ms: self.first_event_at.map(|at| at - self.incoming.arrived_at),
+      pause_ms: self.max_gap_ms,
     });
-    // Requests of the same content are told by it where something went wrong.
+    // The content key identifies failed requests with the same content.
     let content = (result.end != End::Whole).then(|| self.content.to_string());
     info!(self.hub.log, "sent"; "request" => &self.id, "route" => &self.incoming.route.name,
       "content" => content,
-      "model" => self.model(), "late" => self.late(),
-      "server" => &attempt.id, "limit" => &self.said.limit,
-      "leaving" => &self.said.leaving, "retry_after" => &self.said.retry_after,
-      "head_ms" => self.head_ms.map(|at| at.saturating_sub(sent)), "send" => attempt.number, "end" => format!("{:?}", result.end),
+      "model" => self.model(), "late" => self.lateness(),
+      "server" => &attempt.id, "limit" => &self.hints.limit,
+      "leaving" => &self.hints.leaving, "retry_after" => &self.hints.retry_after,
+      "head_ms" => self.head_at.map(|at| at.saturating_sub(sent_at)), "send" => attempt.number, "end" => format!("{:?}", result.end),
       "why" => result.why, "verdict" => result.end.verdict().as_str(),
-      "waited_ms" => sent.saturating_sub(self.incoming.arrived_at), "took_ms" => now - sent,
-      "first_ms" => self.first_ms.map(|at| at - self.incoming.arrived_at),
-      "events" => self.events.count, "pause_ms" => self.pause_ms,
+      "waited_ms" => sent_at.saturating_sub(self.incoming.arrived_at), "took_ms" => now - sent_at,
+      "first_ms" => self.first_event_at.map(|at| at - self.incoming.arrived_at),
+      "events" => self.events.count, "pause_ms" => self.max_gap_ms,
       "servers_age_ms" => age.map(|age| age.as_millis() as u64),
       "missing_ms" => attempt.missing_ms);
   }
--- a/src/relay/refusal.rs
+++ b/src/relay/refusal.rs
@@ -1,4 +1,4 @@
-//! The final answer to a request that is not served.
+//! The final response to a request that is not served.
 
 use crate::{
   http::{Framing, Headers, Response},
@@ -7,7 +7,7 @@
   verdict::Verdict,
 };
 
-/// The status of a refusal: only what has not run may be called so.
+/// HTTP status of a refusal; only requests that have not run may get a status that says so.
 fn status(refusal: &Refusal) -> u16 {
   match (refusal.verdict, refusal.reason) {
     (Verdict::NotRun, Reason::KeyUnknown) => 401,
@@ -18,8 +18,8 @@
   }
 }
 
-/// A refusal's bytes.
-pub fn encode_refusal(refusal: &Refusal, keep: bool) -> Vec<u8> {
+/// Encodes a refusal as an HTTP response.
+pub fn encode_refusal(refusal: &Refusal, keep_alive: bool) -> Vec<u8> {
   let status = status(refusal);
   let body = reply::refusal_body(*refusal).to_string();
   let mut head = Response {
@@ -36,7 +36,7 @@
     let seconds = format!("{:.1}", ms as f64 / 1_000.0);
     head.headers.set("Retry-After", &seconds);
   }
-  let mut bytes = head.encode(Framing::Length(body.len() as u64), keep);
+  let mut bytes = head.encode(Framing::Length(body.len() as u64), keep_alive);
   bytes.extend_from_slice(body.as_bytes());
   bytes
 }
--- a/src/relay/send.rs
+++ b/src/relay/send.rs
@@ -1,6 +1,6 @@
-//! One send: the request to a server, and the head of its answer.
+//! One send of a request to a server, and the head of the response.
 
-use super::{Disposition, Outcome, Relay, outcome, severed};
+use super::{Disposition, Outcome, Relay, disconnected, outcome};
 use crate::{
   clock::Moment,
   dispatch::{Attempt, End, Event},
@@ -12,57 +12,56 @@
 use slog::warn;
 use std::{io, time::Duration};
 
-/// A repeatable request moves on when its server has not answered within this
-/// many objectives.
+/// A repeatable request is retried when its server has not responded within this many objectives.
 const STALL_OBJECTIVES: u64 = 4;
-/// But not before this time, ms.
-const STALL_LEAST_MS: u64 = 900;
-/// A resumable stream moves on after this many of the pauses allowed.
+/// Minimum time before such a retry.
+const MIN_STALL_MS: u64 = 900;
+/// A resumable stream is retried after a pause of this many allowed gaps.
 const STALL_GAPS: u64 = 4;
 
-/// A request that broke off sooner than this after its send went to a connection whose server
-/// had ended before, ms: between availability zones bytes take some, and a first token more.
-const REACHED_MS: u64 = 10;
-/// Time for a connection that shows whether a server lives: a refusal takes a few ms, and a
-/// machine that says nothing accuses nobody.
-const LOOK: Duration = Duration::from_millis(100);
+/// A connection that breaks sooner than this after a send belongs to a server that had already
+/// ended: bytes between availability zones take some ms, and a first token takes longer.
+const MIN_RUN_MS: u64 = 10;
+/// Timeout of the connection that checks whether a server still runs. A refusal takes a few ms, and
+/// a machine that does not respond at all is no evidence of a crash.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// An answer is waited for so long after its caller has left: a server that turns requests away does
-/// so within some ms, and its wish for rest counts whoever reads it.
-const HEAR_ON: Duration = Duration::from_millis(10);
+/// How long a response is awaited after its caller disconnected: a server that rejects requests
+/// does so within a few ms, and the backoff that it requests applies even without the caller.
+const LATE_HEAD_TIMEOUT: Duration = Duration::from_millis(10);
 
-/// Whether a connection to a server carries another request.
+/// Whether a connection to a server can carry another request.
 #[derive(Clone, Copy)]
 enum Reuse {
   No,
-  /// Yes; with the time for which the server keeps it at rest, where it says so.
+  /// Yes, with the time for which the server keeps it idle, if stated.
   Within(Option<Duration>),
 }
 
 impl Relay<'_> {
-  /// Sends the request once and passes on what comes.
+  /// Sends the request once and forwards the response.
   pub(super) fn send(&mut self, attempt: &Attempt) -> Outcome {
     let once = !self.incoming.route.repeatable();
     let now = self.hub.now();
-    self.said = Hints::default();
-    self.head_ms = None;
-    if now >= self.until {
+    self.hints = Hints::default();
+    self.head_at = None;
+    if now >= self.deadline {
       return outcome(End::Unsent, "time over before it was sent");
     }
-    let Ok((mut socket, used)) = self
+    let Ok((mut socket, reused)) = self
       .hub
       .pool
       .connect(attempt.backend, attempt.address, once)
     else {
       return outcome(End::Unreached, "no connection");
     };
-    if !used {
+    if !reused {
       self.hub.measures.record_connection();
     }
-    if self.hub.now() >= self.until {
+    if self.hub.now() >= self.deadline {
       return outcome(End::Unsent, "time over while the connection came up");
     }
-    // More may have become known of the server while the connection came up.
+    // New facts about the server may have arrived while the connection was established.
     if let Some(end) = self.hub.state().abort_reason(attempt) {
       return outcome(end, "overtaken by what became known of the server");
     }
@@ -70,15 +69,15 @@
       return outcome(end, "key taken away, or not surely known");
     }
     self.events.discard_partial();
-    let sent = self.hub.now();
+    let sent_at = self.hub.now();
     let result = self.exchange(&mut socket, attempt);
-    let result = result.map_err(|result| self.look_for_crash(result, sent, attempt));
+    let result = result.map_err(|result| self.check_crash(result, sent_at, attempt));
     match result {
       Ok((result, reuse)) => {
-        if let Reuse::Within(rest) = reuse
+        if let Reuse::Within(idle) = reuse
           && socket.input.is_empty()
         {
-          self.hub.pool.release(attempt.backend, socket, rest);
+          self.hub.pool.release(attempt.backend, socket, idle);
         }
         result
       }
@@ -86,19 +85,19 @@
     }
   }
 
-  /// A run that its server cut off: whether the server's process has ended.
-  fn look_for_crash(&self, result: Outcome, sent: u64, attempt: &Attempt) -> Outcome {
-    let ran = self.hub.now() >= sent + REACHED_MS;
-    if !result.severed || !ran || !self.refuses(attempt) {
+  /// Checks whether a server that cut off a run has ended.
+  fn check_crash(&self, result: Outcome, sent_at: u64, attempt: &Attempt) -> Outcome {
+    let ran = self.hub.now() >= sent_at + MIN_RUN_MS;
+    if !result.disconnected || !ran || !self.refuses_connections(attempt) {
       return result;
     }
     outcome(End::Crashed, "server ended")
   }
 
-  /// Whether a server's port refuses a connection. One that comes up is kept: the next send
-  /// needs it.
-  fn refuses(&self, attempt: &Attempt) -> bool {
-    match Socket::connect(attempt.address, LOOK) {
+  /// Whether a server's port refuses connections. A connection that succeeds is kept for the next
+  /// send.
+  fn refuses_connections(&self, attempt: &Attempt) -> bool {
+    match Socket::connect(attempt.address, PROBE_TIMEOUT) {
       Ok(socket) => {
         self.hub.measures.record_connection();
         self.hub.pool.release(attempt.backend, socket, None);
@@ -108,22 +107,22 @@
     }
   }
 
-  /// Where customers are known, a server sees the customer as it is known here, and no key.
-  fn name_customer(&self, head: &mut Request) {
+  /// If customers are configured, the server receives the configured customer name and no API key.
+  fn set_customer(&self, head: &mut Request) {
     let state = self.hub.state();
     let deployment = state.deployment.as_ref();
-    let Some(book) = deployment.and_then(|deployment| deployment.customers.as_ref()) else {
+    let Some(customers) = deployment.and_then(|deployment| deployment.customers.as_ref()) else {
       return;
     };
     head.headers.remove("authorization");
     head.headers.remove(self.hub.dialect.customer);
     let caller = self.incoming.caller.as_ref();
-    if let Some(customer) = caller.and_then(|caller| book.get(caller.customer)) {
+    if let Some(customer) = caller.and_then(|caller| customers.get(caller.customer)) {
       head.headers.set(self.hub.dialect.customer, &customer.name);
     }
   }
 
-  fn outgoing(&self, attempt: &Attempt) -> Vec<u8> {
+  fn encode_request(&self, attempt: &Attempt) -> Vec<u8> {
     let dialect = &self.hub.dialect;
     let mut head = self.incoming.head.clone();
     head.headers.remove_hop_by_hop();
@@ -131,9 +130,11 @@
     for name in dialect.reserved {
       head.headers.remove(name);
     }
-    self.name_customer(&mut head);
-    let left = self.until.saturating_sub(self.hub.now()).max(1);
-    head.headers.set(dialect.deadline_ms, &left.to_string());
+    self.set_customer(&mut head);
+    let remaining_ms = self.deadline.saturating_sub(self.hub.now()).max(1);
+    head
+      .headers
+      .set(dialect.deadline_ms, &remaining_ms.to_string());
     head.headers.set(dialect.expected_server, &attempt.id);
     let own = self.incoming.caller.and_then(|caller| caller.priority);
     let priority = own.unwrap_or(self.incoming.route.priority).min(9);
@@ -150,67 +151,67 @@
     bytes
   }
 
-  /// Longest wait for the next byte of an answer; none for a request that may not
-  /// be sent again.
-  pub(super) fn stall(&self, events: bool) -> u64 {
+  /// Deadline for the next byte of a response: the request's own deadline if it may not be sent
+  /// again.
+  pub(super) fn read_deadline(&self, events: bool) -> u64 {
     let route = &self.incoming.route;
     let now = self.hub.now();
     if !route.repeatable() {
-      return self.until;
+      return self.deadline;
     }
     let stall = match (route.stream, events) {
       (Some(stream), true) => stream.gap_ms * STALL_GAPS,
-      _ => (route.objective_ms * STALL_OBJECTIVES).max(STALL_LEAST_MS),
+      _ => (route.objective_ms * STALL_OBJECTIVES).max(MIN_STALL_MS),
     };
-    (now + stall).min(self.until)
+    (now + stall).min(self.deadline)
   }
 
-  /// Waits for the server; an outcome says why the send ends here.
-  pub(super) fn hear(&mut self, socket: &mut Socket, until: u64) -> Result<Fill, Outcome> {
-    let moment = self.hub.instant(until);
+  /// Waits for data from the server; an error is the outcome that ends the send.
+  pub(super) fn read_server(&mut self, socket: &mut Socket, until: u64) -> Result<Fill, Outcome> {
+    let timeout_at = self.hub.instant(until);
     loop {
       let listen = self.caller.input.is_empty();
       let caller = listen.then_some((&self.caller.stream as &dyn rustix::fd::AsFd, Interest::Read));
       let server = Some((&socket.stream as &dyn rustix::fd::AsFd, Interest::Read));
-      let waited = wait([caller, server], moment);
-      let Ok([called, served]) = waited else {
+      let waited = wait([caller, server], timeout_at);
+      let Ok([caller_ready, server_ready]) = waited else {
         return Err(outcome(End::Broken, "wait failed"));
       };
-      if served {
+      if server_ready {
         return socket
           .fill()
-          .map_err(|_| severed("connection reset by server"));
+          .map_err(|_| disconnected("connection reset by server"));
       }
-      if called {
-        if self.hear_caller().is_err() {
-          self.then = Disposition::Close;
+      if caller_ready {
+        if self.read_caller().is_err() {
+          self.disposition = Disposition::Close;
           return Err(outcome(End::Left, "caller left"));
         }
-      } else if self.hub.now() >= self.until {
+      } else if self.hub.now() >= self.deadline {
         return Err(outcome(End::Late, "time over"));
-      } else if Moment::now() >= moment {
+      } else if Moment::now() >= timeout_at {
         return Err(outcome(End::Broken, "server stalled"));
       }
     }
   }
 
-  /// Writes the request; an early answer ends the writing. Returns whether all of it
-  /// went out.
-  fn write(&mut self, socket: &mut Socket, bytes: &[u8]) -> Result<bool, Outcome> {
-    let mut left = bytes;
-    let until = self.hub.instant(self.stall(false));
+  /// Writes the request; an early response stops the writing. Returns whether all of it was
+  /// written.
+  fn write_request(&mut self, socket: &mut Socket, bytes: &[u8]) -> Result<bool, Outcome> {
+    let mut remaining = bytes;
+    let until = self.hub.instant(self.read_deadline(false));
     loop {
-      match socket.try_write(left) {
-        Ok(length) => left = &left[length..],
-        // What came before the break may be an answer.
+      match socket.try_write(remaining) {
+        Ok(length) => remaining = &remaining[length..],
+        // Data received before the connection broke may be a response.
         Err(_) => return Ok(false),
       }
-      if left.is_empty() {
+      if remaining.is_empty() {
         return Ok(true);
       }
       let server = Some((&socket.stream as &dyn rustix::fd::AsFd, Interest::Write));
-      let answer = Some((&socket.stream as &dyn rustix::fd::AsFd, Interest::Read));
-      let Ok([writable, readable]) = wait([server, answer], until) else {
+      let response = Some((&socket.stream as &dyn rustix::fd::AsFd, Interest::Read));
+      let Ok([writable, readable]) = wait([server, response], until) else {
         return Err(outcome(End::Broken, "wait failed"));
       };
       if readable && !writable {
@@ -222,9 +223,9 @@
     }
   }
 
-  /// The answer's head; answers to other requests are passed over.
-  fn head(&mut self, socket: &mut Socket) -> Result<(Response, Framing), Outcome> {
-    let until = self.stall(false);
+  /// Reads the head of the response, skipping responses to other requests.
+  fn read_head(&mut self, socket: &mut Socket) -> Result<(Response, Framing), Outcome> {
+    let until = self.read_deadline(false);
     let method = self.incoming.head.method.clone();
     loop {
       let parsed = Response::parse(&socket.input);
@@ -232,8 +233,8 @@
         return Err(outcome(End::Broken, "not an answer"));
       };
       let Some((head, length)) = parsed else {
-        if self.hear(socket, until)? == Fill::Eof {
-          return Err(severed("connection closed by server"));
+        if self.read_server(socket, until)? == Fill::Eof {
+          return Err(disconnected("connection closed by server"));
         }
         continue;
       };
@@ -246,13 +247,18 @@
       };
       let echoed = head.headers.get(self.hub.dialect.request_id);
       match echoed {
-        Some(echoed) if echoed != self.id => self.skip(socket, framing, until)?,
+        Some(echoed) if echoed != self.id => self.skip_body(socket, framing, until)?,
         _ => return Ok((head, framing)),
       }
     }
   }
 
-  fn skip(&mut self, socket: &mut Socket, framing: Framing, until: u64) -> Result<(), Outcome> {
+  fn skip_body(
+    &mut self,
+    socket: &mut Socket,
+    framing: Framing,
+    until: u64,
+  ) -> Result<(), Outcome> {
     let mut body = Decoder::new(framing);
     let mut out = Vec::new();
     loop {
@@ -263,21 +269,22 @@
       if body.is_complete() {
         return Ok(());
       }
-      if self.hear(socket, until)? == Fill::Eof {
+      if self.read_server(socket, until)? == Fill::Eof {
         return Err(outcome(End::Broken, "connection closed by server"));
       }
     }
   }
 
-  /// Takes up which limit an answer names; one of another server at the address says nothing.
-  fn hear_limit(&self, status: u16, attempt: &Attempt) {
-    if status == MISDIRECTED_REQUEST || self.said.limit.is_none() && !attempt.limited {
+  /// Applies the limit that a response names; a response from another server at the address is
+  /// ignored.
+  fn apply_limit(&self, status: u16, attempt: &Attempt) {
+    if status == MISDIRECTED_REQUEST || self.hints.limit.is_none() && !attempt.limited {
       return;
     }
-    let rate = match self.said.limit.as_deref().map(limit::parse).transpose() {
+    let rate = match self.hints.limit.as_deref().map(limit::parse).transpose() {
       Ok(rate) => rate,
       Err(error) => {
-        warn!(self.hub.log, "limit not understood"; "server" => &attempt.id, "error" => error);
+        warn!(self.hub.log, "server limit could not be parsed"; "server" => &attempt.id, "error" => error);
         return;
       }
     };
@@ -285,25 +292,26 @@
     self.apply(Event::LimitAnnounced { ticket, rate });
   }
 
-  /// Takes up what the head of an answer says of its server.
-  fn hear_head(&mut self, head: &Response, attempt: &Attempt) {
-    self.said = Hints::from_head(head.status, &head.headers, &self.hub.dialect);
-    self.head_ms = Some(self.hub.now());
-    self.hub.apply_hints(attempt.life, &attempt.id, &self.said);
+  /// Applies the hints about the server in the head of a response.
+  fn apply_head(&mut self, head: &Response, attempt: &Attempt) {
+    self.hints = Hints::from_head(head.status, &head.headers, &self.hub.dialect);
+    self.head_at = Some(self.hub.now());
+    self.hub.apply_hints(attempt.life, &attempt.id, &self.hints);
   }
 
-  /// Reads an answer that comes as its caller leaves for what it says of the server.
-  fn hear_on(&mut self, socket: &mut Socket, attempt: &Attempt) {
-    let until = Moment::now() + HEAR_ON;
+  /// Reads the head of a response that arrives as its caller disconnects, for its hints about the
+  /// server.
+  fn read_late_head(&mut self, socket: &mut Socket, attempt: &Attempt) {
+    let until = Moment::now() + LATE_HEAD_TIMEOUT;
     loop {
       match Response::parse(&socket.input) {
-        Ok(Some((head, _))) => return self.hear_head(&head, attempt),
+        Ok(Some((head, _))) => return self.apply_head(&head, attempt),
         Ok(None) => {}
         Err(_) => return,
       }
       let server = Some((&socket.stream as &dyn rustix::fd::AsFd, Interest::Read));
-      let served = matches!(wait([None, server], until), Ok([_, true]));
-      if !served || !matches!(socket.fill(), Ok(Fill::Data)) {
+      let server_ready = matches!(wait([None, server], until), Ok([_, true]));
+      if !server_ready || !matches!(socket.fill(), Ok(Fill::Data)) {
         return;
       }
     }
@@ -314,20 +322,20 @@
     socket: &mut Socket,
     attempt: &Attempt,
   ) -> Result<(Outcome, Reuse), Outcome> {
-    let bytes = self.outgoing(attempt);
-    let written = self.write(socket, &bytes)?;
-    let (head, framing) = match self.head(socket) {
+    let bytes = self.encode_request(attempt);
+    let written = self.write_request(socket, &bytes)?;
+    let (head, framing) = match self.read_head(socket) {
       Err(result) if result.end == End::Left => {
-        self.hear_on(socket, attempt);
+        self.read_late_head(socket, attempt);
         return Err(result);
       }
       head => head?,
     };
-    self.hear_head(&head, attempt);
-    if attempt.trial && self.said.retry_after.is_none() {
+    self.apply_head(&head, attempt);
+    if attempt.trial && self.hints.retry_after.is_none() {
       self.apply(Event::TrialAccepted(attempt.life));
     }
-    self.hear_limit(head.status, attempt);
+    self.apply_limit(head.status, attempt);
     let dialect = &self.hub.dialect;
     let echoed = head.headers.get(dialect.request_id).is_some();
     let signed = head.headers.get(dialect.signature).is_some();
@@ -339,21 +347,21 @@
       return Err(outcome(End::Broken, "answer in an encoding not asked for"));
     }
     let reuse = match written && head.keep_alive() && framing != Framing::Close {
-      true => Reuse::Within(rest_allowed(&head)),
+      true => Reuse::Within(keep_alive_timeout(&head)),
       false => Reuse::No,
     };
     let streams = success && self.incoming.route.stream.is_some();
     let result = if streams {
-      self.stream(socket, &head, framing)?
+      self.relay_stream(socket, &head, framing)?
     } else {
-      self.whole(socket, head, framing, attempt)?
+      self.relay_plain(socket, head, framing, attempt)?
     };
     Ok((result, reuse))
   }
 }
 
-/// Time for which a server keeps a connection at rest, where it says so.
-fn rest_allowed(head: &Response) -> Option<Duration> {
+/// Time for which a server keeps a connection idle, if stated.
+fn keep_alive_timeout(head: &Response) -> Option<Duration> {
   let header = head.headers.get("keep-alive")?;
   let timeout = header
     .split(',')
--- a/src/upstream.rs
+++ b/src/upstream.rs
@@ -1,80 +1,81 @@
-//! Connections to backend servers, kept for the next request.
+//! Pool of connections to backend servers.
 
 use crate::clock::Moment;
 use crate::{backend, hub::lock, socket::Socket};
 use slotmap::SecondaryMap;
 use std::{io, net::SocketAddr, sync::Mutex, time::Duration};
 
-/// Time for a connection to come up: a server that is there answers within a few
-/// milliseconds, and a dropped opening packet goes again only after a second.
-const CONNECT: Duration = Duration::from_millis(400);
-/// Rest after which a kept connection is not used for a request that may run
-/// only once: the server may be closing it.
-const REST_ONCE: Duration = Duration::from_millis(1_000);
-/// Rest after which a kept connection is not used at all.
-const REST_MOST: Duration = Duration::from_millis(4_000);
-/// Connections kept for one server.
-const KEPT: usize = 16;
+/// Timeout for establishing a connection: a running server accepts within a few milliseconds, and a
+/// lost SYN is retransmitted only after a second.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
+/// Maximum idle time of a connection used for a request that may run only once, because the server
+/// may be closing it.
+const MAX_IDLE_ONCE: Duration = Duration::from_millis(1_000);
+/// Maximum idle time of a connection.
+const MAX_IDLE: Duration = Duration::from_millis(4_000);
+/// Maximum number of idle connections per server.
+const MAX_IDLE_CONNECTIONS: usize = 16;
 
-struct Kept {
+struct Idle {
   socket: Socket,
-  since: Moment,
-  /// Idle time the server allows.
-  rest: Duration,
+  idle_since: Moment,
+  /// Maximum idle time, derived from what the server allows.
+  max_idle: Duration,
 }
 
-/// Kept connections by server; one that has started again has none of its earlier life's.
+/// Idle connections by server; a restarted server has none from before its restart.
 #[derive(Default)]
 pub struct Pool {
-  kept: Mutex<SecondaryMap<backend::Key, Vec<Kept>>>,
+  idle: Mutex<SecondaryMap<backend::Key, Vec<Idle>>>,
 }
 
 impl Pool {
-  /// A connection to a server, and whether it was used before.
+  /// Returns a connection to a server, and whether it was used before. `once` selects the shorter
+  /// idle time, for a request that may run only once.
   pub fn connect(
     &self,
     key: backend::Key,
     address: SocketAddr,
     once: bool,
   ) -> io::Result<(Socket, bool)> {
-    if let Some(socket) = self.kept(key, once) {
+    if let Some(socket) = self.take_idle(key, once) {
       return Ok((socket, true));
     }
-    Ok((Socket::connect(address, CONNECT)?, false))
+    Ok((Socket::connect(address, CONNECT_TIMEOUT)?, false))
   }
 
-  fn kept(&self, key: backend::Key, once: bool) -> Option<Socket> {
-    let mut pool = lock(&self.kept);
-    let kept = pool.get_mut(key)?;
-    while let Some(mut last) = kept.pop() {
-      let most = if once { REST_ONCE } else { REST_MOST };
-      if last.since.elapsed() < last.rest.min(most) && last.socket.is_idle() {
+  fn take_idle(&self, key: backend::Key, once: bool) -> Option<Socket> {
+    let mut pool = lock(&self.idle);
+    let idle = pool.get_mut(key)?;
+    while let Some(mut last) = idle.pop() {
+      let limit = if once { MAX_IDLE_ONCE } else { MAX_IDLE };
+      if last.idle_since.elapsed() < last.max_idle.min(limit) && last.socket.is_idle() {
         return Some(last.socket);
       }
     }
     None
   }
 
-  /// Keeps a connection on which nothing is due.
-  pub fn release(&self, key: backend::Key, socket: Socket, rest: Option<Duration>) {
-    let mut pool = lock(&self.kept);
-    let Some(kept) = pool.entry(key).map(|entry| entry.or_default()) else {
+  /// Returns a connection to the pool when no response is pending on it.
+  pub fn release(&self, key: backend::Key, socket: Socket, max_idle: Option<Duration>) {
+    let mut pool = lock(&self.idle);
+    let Some(idle) = pool.entry(key).map(|entry| entry.or_default()) else {
       return;
     };
-    if kept.len() < KEPT {
-      // Leave before the server does: half of what it allows.
-      let rest = rest.map_or(REST_MOST, |rest| rest / 2);
-      let since = Moment::now();
-      kept.push(Kept {
+    if idle.len() < MAX_IDLE_CONNECTIONS {
+      // Half of the allowed time, so that this side closes the connection first.
+      let max_idle = max_idle.map_or(MAX_IDLE, |max_idle| max_idle / 2);
+      let idle_since = Moment::now();
+      idle.push(Idle {
         socket,
-        since,
-        rest,
+        idle_since,
+        max_idle,
       });
     }
   }
 
-  /// Closes what is kept for servers that are not known.
+  /// Closes idle connections to unknown servers.
   pub fn retain(&self, known: impl Fn(backend::Key) -> bool) {
-    lock(&self.kept).retain(|key, _| known(key));
+    lock(&self.idle).retain(|key, _| known(key));
   }
 }
