--- a/src/statement/compliance.rs
+++ b/src/statement/compliance.rs
@@ -1,42 +1,42 @@
-//! How close requests came to what servers had said: for each instance and server, its last send
-//! after an answer that said that the server leaves, and its sends in each rest that was asked for.
+//! Measures how far sends respected server statements, by instance and server: the last send after
+//! a response that announced that the server is leaving, and the sends during each backoff.
 
 use crate::explain::Line;
 use serde_json::Value;
 use std::collections::BTreeMap;
 
-/// Sends so soon after an answer that asks for rest may have crossed it, ms.
-const CROSSING_MS: f64 = 500.0;
+/// Sends within this time after a response that requests a backoff may have crossed it.
+const MAX_CROSSING_MS: f64 = 500.0;
 
-/// A send, as its line names it; times in ms of the day.
+/// A send, as read from its log line; times in ms of the day.
 struct Send<'a> {
   line: &'a Line,
-  sent: f64,
-  /// When the answer's head came; none: no answer did.
-  answered: Option<f64>,
+  sent_at: f64,
+  /// When the head of the response arrived; `None` without a response.
+  head_at: Option<f64>,
 }
 
 impl<'a> Send<'a> {
-  fn of(line: &'a Line) -> Self {
+  fn new(line: &'a Line) -> Self {
     let number = |field: &str| line.fields.get(field).and_then(Value::as_f64);
-    let sent = line.at * 1_000.0 - number("took_ms").unwrap_or_default();
+    let sent_at = line.at * 1_000.0 - number("took_ms").unwrap_or_default();
     Self {
       line,
-      sent,
-      answered: number("head_ms").map(|after| sent + after),
+      sent_at,
+      head_at: number("head_ms").map(|after| sent_at + after),
     }
   }
 
-  /// When an answer said that its server leaves.
+  /// When a response announced that its server is leaving.
   fn leaving(&self) -> Option<f64> {
-    self.line.text("leaving").and(self.answered)
+    self.line.text("leaving").and(self.head_at)
   }
 
-  /// When an answer asked for rest, and until when.
-  fn rest(&self) -> Option<(f64, f64)> {
+  /// Start and end of the backoff that a response requested.
+  fn backoff(&self) -> Option<(f64, f64)> {
     let seconds = self.line.text("retry_after")?.parse::<f64>().ok()?;
-    let from = self.answered?;
-    Some((from + CROSSING_MS, from + seconds * 1_000.0))
+    let from = self.head_at?;
+    Some((from + MAX_CROSSING_MS, from + seconds * 1_000.0))
   }
 }
 
@@ -46,40 +46,42 @@
   for line in lines.iter().filter(|line| line.message() == "sent") {
     if let (Some(instance), Some(server)) = (line.text("instance"), line.text("server")) {
       let sends = sends.entry((instance, server)).or_default();
-      sends.push(Send::of(line));
+      sends.push(Send::new(line));
     }
   }
   for sends in sends.values_mut() {
-    sends.sort_by(|one, two| one.sent.total_cmp(&two.sent));
+    sends.sort_by(|a, b| a.sent_at.total_cmp(&b.sent_at));
   }
   sends
 }
 
-/// By instance and server: how long after the first answer that said that it leaves the last send
-/// went out, ms; 0: none did.
+/// Time in ms from the first response that announced that the server is leaving to the last send,
+/// by instance and server; 0 if no send followed.
 pub fn last_send_after_leaving(lines: &[Line]) -> Vec<(String, String, u64)> {
   let pairs = sends(lines).into_iter();
   let measured = pairs.filter_map(|((instance, server), sends)| {
-    let told = sends.iter().filter_map(Send::leaving);
-    let told = told.min_by(f64::total_cmp)?;
-    let last = sends.last()?.sent;
-    let after = (last - told).max(0.0).round() as u64;
+    let announced_at = sends.iter().filter_map(Send::leaving);
+    let announced_at = announced_at.min_by(f64::total_cmp)?;
+    let last = sends.last()?.sent_at;
+    let after = (last - announced_at).max(0.0).round() as u64;
     Some((instance.to_string(), server.to_string(), after))
   });
   measured.collect()
 }
 
-/// By instance and server: the most sends in one rest, but for those that may have crossed the
-/// answer that asked for it.
+/// Maximum number of sends during one backoff by instance and server, without those that may have
+/// crossed the response that requested it.
 pub fn sends_during_backoff(lines: &[Line]) -> Vec<(String, String, usize)> {
   let pairs = sends(lines).into_iter();
   let measured = pairs.filter_map(|((instance, server), sends)| {
-    let rests = sends.iter().filter_map(Send::rest);
+    let backoffs = sends.iter().filter_map(Send::backoff);
     let within = |(from, to): (f64, f64)| {
       let sends = sends.iter();
-      sends.filter(|send| (from..to).contains(&send.sent)).count()
+      sends
+        .filter(|send| (from..to).contains(&send.sent_at))
+        .count()
     };
-    let most = rests.map(within).max()?;
+    let most = backoffs.map(within).max()?;
     Some((instance.to_string(), server.to_string(), most))
   });
   measured.collect()
--- a/src/statement/exchange.rs
+++ b/src/statement/exchange.rs
@@ -1,8 +1,9 @@
-//! How what servers say reaches all instances.
+//! Exchange of server statements between instances.
 //!
-//! An instance that hears something new reports it to the holder of the lease with its uses, at
-//! once and twice more, for a datagram may be lost; the holder publishes it to all in the same
-//! way, and all that it knows with each list of instances, for those that start.
+//! An instance that receives a new statement reports it to the lease holder along with its uses, at
+//! once and twice more because a datagram may be lost. The holder publishes it to all instances in
+//! the same way, and publishes all known statements with each list of instances, for those that
+//! start.
 
 use super::{Content, Hints, Statement};
 use crate::{
@@ -16,12 +17,12 @@
 use slog::warn;
 use std::net::SocketAddr;
 
-/// Statements of one datagram: some 20 bytes each.
-const STATEMENTS: usize = 100;
+/// Maximum number of statements in a datagram, at about 20 bytes each.
+const MAX_STATEMENTS: usize = 100;
 
 impl Planner {
-  /// Takes up what has become known here: the holder publishes it, another instance reports what
-  /// it heard itself.
+  /// Distributes new statements: the holder publishes them, and another instance reports those that
+  /// it received from servers directly.
   pub(crate) fn exchange_statements(&mut self) {
     let now = self.hub.now();
     let changed = self.hub.state().take_statements();
@@ -42,14 +43,14 @@
     self.publish_statements(statements, &others);
   }
 
-  /// Publishes what servers said to some instances.
+  /// Publishes statements to some instances.
   pub(crate) fn publish_statements(&mut self, statements: Vec<Statement>, to: &[SocketAddr]) {
-    for part in statements.chunks(STATEMENTS) {
+    for part in statements.chunks(MAX_STATEMENTS) {
       self.send_paced(&Message::Statements(part.to_vec()), to);
     }
   }
 
-  /// Takes up what another instance heard of servers.
+  /// Processes statements from another instance.
   pub(crate) fn receive_statements(&mut self, mut statements: Vec<Statement>) {
     if self.stalled {
       statements.retain(Statement::applies_when_late);
@@ -59,19 +60,22 @@
     }
   }
 
-  /// What goes with a report of uses: what is new, and the limits of servers whose units are
-  /// needed, for a holder that has taken over.
+  /// Statements to send with a report of uses: new ones and, for a holder that has just taken over,
+  /// the limits of servers whose units are needed.
   pub(crate) fn statements_for(&mut self, now: u64, uses: &[Use]) -> Vec<Statement> {
     let due = self.reported_statements.take(now);
     let mut statements = self.statements_of(now, &due);
     let state = self.hub.state();
-    let needed = uses.iter().filter(|one| one.need > 0);
-    for statement in needed.filter_map(|one| state.limits.statement_by_id(one.id, now)) {
-      if !statements.iter().any(|one| one.server == statement.server) {
+    let needed = uses.iter().filter(|usage| usage.need > 0);
+    for statement in needed.filter_map(|usage| state.limits.statement_by_id(usage.id, now)) {
+      if !statements
+        .iter()
+        .any(|known| known.server == statement.server)
+      {
         statements.push(statement);
       }
     }
-    statements.truncate(STATEMENTS);
+    statements.truncate(MAX_STATEMENTS);
     statements
   }
 
@@ -83,7 +87,7 @@
       .collect()
   }
 
-  /// Reports once more which servers leave: a holder that has taken over may not have heard it.
+  /// Reports leaving servers again, because a new holder may not know them.
   pub(crate) fn resend_leaving(&mut self, now: u64) {
     let leaving: Vec<Life> = self.hub.state().leaving.servers().collect();
     for server in leaving {
@@ -93,13 +97,13 @@
 }
 
 impl State {
-  /// What a server said, for other instances.
+  /// Statements of a server, for other instances.
   pub fn statements_of(&self, server: Life, now: u64) -> impl Iterator<Item = Statement> {
     let limit = self.limits.statement(server, now);
     limit.into_iter().chain(self.leaving.statement(server, now))
   }
 
-  /// What all servers said, for instances that know nothing yet.
+  /// Statements of all servers, for instances that have just started.
   pub fn all_statements(&self, now: u64) -> Vec<Statement> {
     let leaving = self.leaving.servers();
     let leaving = leaving.filter_map(|server| self.leaving.statement(server, now));
@@ -111,15 +115,15 @@
       .collect()
   }
 
-  /// Servers of which something is known that was not when this was last asked, and whether this
-  /// instance heard it of the server.
+  /// Takes the servers with statements that are new since the last call, each with whether this
+  /// instance received the statement from the server itself.
   pub fn take_statements(&mut self) -> Vec<(Life, bool)> {
     let mut changed = self.limits.take_changed();
     changed.extend(self.leaving.take_changed());
     changed
   }
 
-  /// Takes up what other instances heard of servers.
+  /// Processes statements that other instances received.
   pub(crate) fn receive_statements(&mut self, statements: &[Statement]) {
     for statement in statements {
       let at = self.now.saturating_sub(statement.age_ms.into());
@@ -132,23 +136,21 @@
 }
 
 impl Hub {
-  /// Takes up what the head of an answer says of its server.
-  pub(crate) fn apply_hints(&self, server: Life, id: &str, said: &Hints) {
-    match said.is_leaving() {
+  /// Applies the hints from the head of a response.
+  pub(crate) fn apply_hints(&self, server: Life, id: &str, hints: &Hints) {
+    match hints.is_leaving() {
       Ok(true) => self.apply(Event::Leaving(server), None),
       Ok(false) => {}
-      Err(error) => warn!(self.log, "statement not understood"; "server" => id, "error" => error),
+      Err(error) => {
+        warn!(self.log, "server statement could not be parsed"; "server" => id, "error" => error)
+      }
     }
-    match said.backoff_ms() {
-      Ok(Some(rest_ms)) => self.apply(
-        Event::Backoff {
-          server,
-          backoff_ms: rest_ms,
-        },
-        None,
-      ),
+    match hints.backoff_ms() {
+      Ok(Some(backoff_ms)) => self.apply(Event::Backoff { server, backoff_ms }, None),
       Ok(None) => {}
-      Err(error) => warn!(self.log, "statement not understood"; "server" => id, "error" => error),
+      Err(error) => {
+        warn!(self.log, "server statement could not be parsed"; "server" => id, "error" => error)
+      }
     }
   }
 }
--- a/src/statement/hints.rs
+++ b/src/statement/hints.rs
@@ -1,40 +1,41 @@
-//! What the head of one answer says.
+//! Hints about a server in the head of one of its responses.
 
 use crate::{dialect::Dialect, http::Headers};
 
-/// Status of an answer of a server that is not the one meant, or lacks the model.
+/// Status of a response from a server that is not the intended one, or lacks the model.
 pub const MISDIRECTED_REQUEST: u16 = 421;
-/// Status of an answer of a server that takes no more now.
-const UNAVAILABLE: u16 = 503;
+/// Status of a response from a server that accepts no more requests for now.
+const SERVICE_UNAVAILABLE: u16 = 503;
 
-/// What the head of an answer says of the server that gave it, as it stands there.
+/// Hints in a response about the server that sent it, as the unparsed header values.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Hints {
-  /// Requests a second that it takes from all instances together.
+  /// Requests per second that the server accepts from all instances together.
   pub limit: Option<String>,
-  /// It takes no new work.
+  /// The server accepts no new work.
   pub leaving: Option<String>,
-  /// Seconds for which it wants nothing from this instance.
+  /// Seconds for which this instance must send nothing to the server.
   pub retry_after: Option<String>,
 }
 
 impl Hints {
-  /// What an answer says. One of another server at the address says nothing of the one meant.
+  /// Reads the hints in a response. A response from another server at the address has none for the
+  /// intended one.
   pub fn from_head(status: u16, headers: &Headers, dialect: &Dialect) -> Self {
     if status == MISDIRECTED_REQUEST {
       return Self::default();
     }
     let value = |name: &str| headers.get(name).map(str::to_string);
-    let rests = status == UNAVAILABLE;
+    let unavailable = status == SERVICE_UNAVAILABLE;
     Self {
       limit: value(dialect.limit),
       leaving: value(dialect.leaving),
-      retry_after: value("retry-after").filter(|_| rests),
+      retry_after: value("retry-after").filter(|_| unavailable),
     }
   }
 }
 
-/// What became of a call, and what the answer's head said.
+/// Outcome of a call, and the hints in the head of its response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Reply<T> {
   pub outcome: T,
@@ -42,11 +43,11 @@
 }
 
 impl Hints {
-  /// Whether the server leaves.
+  /// Whether the server announces that it is leaving.
   ///
   /// # Errors
   ///
-  /// A value other than `1`.
+  /// Returns an error for a value other than `1`.
   pub fn is_leaving(&self) -> Result<bool, String> {
     match self.leaving.as_deref() {
       None => Ok(false),
@@ -55,11 +56,11 @@
     }
   }
 
-  /// For how long the server wants nothing from this instance, ms.
+  /// Backoff in ms that the server requests from this instance; `None` if it requests none.
   ///
   /// # Errors
   ///
-  /// A value that is no number of seconds: a date is not understood.
+  /// Returns an error for a value that is not a number of seconds; a date is not supported.
   pub fn backoff_ms(&self) -> Result<Option<u64>, String> {
     let Some(text) = self.retry_after.as_deref() else {
       return Ok(None);
@@ -68,8 +69,8 @@
     let seconds = seconds.filter(|seconds| seconds.is_finite() && *seconds >= 0.0);
     let seconds =
       seconds.ok_or_else(|| format!("retry-after: `{}` is not seconds", text.escape_debug()))?;
-    // What is too large for a number is the largest.
-    let rest_ms = (seconds * 1_000.0).ceil() as u64;
-    Ok((rest_ms > 0).then_some(rest_ms))
+    // The conversion saturates at the maximum of `u64`.
+    let backoff_ms = (seconds * 1_000.0).ceil() as u64;
+    Ok((backoff_ms > 0).then_some(backoff_ms))
   }
 }
--- a/src/statement/leaving.rs
+++ b/src/statement/leaving.rs
@@ -1,4 +1,4 @@
-//! Servers that say that they leave, in their answers or entries.
+//! Servers that announce in their responses or entries that they are leaving.
 
 use super::{Content, RETENTION_MS, Statement, age_ms};
 use crate::{
@@ -7,45 +7,46 @@
 };
 use std::collections::BTreeMap;
 
-/// Servers that said that they leave, by their lives, and when, ms. It holds until the life ends:
-/// an entry that says otherwise, or comes back, is older.
+/// Leaving servers by life, with the time in ms of the announcement. An announcement holds until
+/// the life ends: an entry that contradicts it or reappears is older.
 #[derive(Clone, Debug, Default)]
 pub struct Leaving {
-  said: BTreeMap<Life, u64>,
-  /// Those that the planner has not taken, and whether this instance heard it of the server.
+  announced_at: BTreeMap<Life, u64>,
+  /// Servers that the planner has not yet taken, each with whether this instance received the
+  /// announcement from the server itself.
   changed: Vec<(Life, bool)>,
 }
 
 impl Leaving {
-  /// Whether a server said that it leaves.
+  /// Whether a server announced that it is leaving.
   pub fn contains(&self, server: Life) -> bool {
-    self.said.contains_key(&server)
+    self.announced_at.contains_key(&server)
   }
 
-  /// Takes up what a server said at a time, ms; whether it is new. `own`: this instance heard it
-  /// of the server.
-  pub fn hear(&mut self, server: Life, at: u64, own: bool) -> bool {
+  /// Records an announcement made at a time in ms, and returns whether it is new. `own` tells
+  /// whether this instance received it from the server itself.
+  pub fn record(&mut self, server: Life, at: u64, own: bool) -> bool {
     let new = !self.contains(server);
     if new {
-      self.said.insert(server, at);
+      self.announced_at.insert(server, at);
       self.changed.push((server, own));
     }
     new
   }
 
-  /// Takes up that a server's entry says so, which all instances read.
-  pub fn read(&mut self, server: Life, at: u64) {
-    self.said.entry(server).or_insert(at);
+  /// Records an announcement in a server's entry, which all instances read.
+  pub fn record_entry(&mut self, server: Life, at: u64) {
+    self.announced_at.entry(server).or_insert(at);
   }
 
-  /// Servers that said so.
+  /// The leaving servers.
   pub fn servers(&self) -> impl Iterator<Item = Life> {
-    self.said.keys().copied()
+    self.announced_at.keys().copied()
   }
 
-  /// What a server said, for other instances.
+  /// The statement that a server is leaving, for other instances.
   pub fn statement(&self, server: Life, now: u64) -> Option<Statement> {
-    let at = self.said.get(&server)?;
+    let at = self.announced_at.get(&server)?;
     Some(Statement {
       server,
       content: Content::Leaving,
@@ -53,26 +54,28 @@
     })
   }
 
-  /// Changes since this was last asked, and whether this instance heard them of the server.
+  /// Takes the changes since the last call, each with whether this instance received it from the
+  /// server itself.
   pub fn take_changed(&mut self) -> Vec<(Life, bool)> {
     std::mem::take(&mut self.changed)
   }
 
-  /// Forgets what was said long ago by servers that are not there.
-  pub fn forget(&mut self, now: u64, there: impl Fn(Life) -> bool) {
+  /// Removes old announcements of servers that no longer have an entry.
+  pub fn prune(&mut self, now: u64, is_listed: impl Fn(Life) -> bool) {
     self
-      .said
-      .retain(|server, at| there(*server) || now < *at + RETENTION_MS);
+      .announced_at
+      .retain(|server, at| is_listed(*server) || now < *at + RETENTION_MS);
   }
 }
 
 impl State {
-  /// A server says at a time, ms, that it leaves. `own`: to this instance.
+  /// Processes a server's announcement, made at a time in ms, that it is leaving. `own` tells
+  /// whether this instance received it from the server itself.
   pub(crate) fn receive_leaving(&mut self, server: Life, at: u64, own: bool) {
-    if !self.leaving.hear(server, at, own) {
+    if !self.leaving.record(server, at, own) {
       return;
     }
-    self.forget_leaving();
+    self.prune_leaving();
     for backend in self.backends.values_mut() {
       if backend.spec.life() == server {
         backend.leaving = true;
@@ -80,21 +83,25 @@
         self.out.push(Effect::Leaving { id, own });
       }
     }
-    // The planner counts its models as gone.
+    // The planner stops counting the server's models.
     self.changes += 1;
     self.dispatch_waiting();
   }
 
-  /// A server's entry says that it leaves.
+  /// Records that a server's entry announces that it is leaving.
   pub(crate) fn record_leaving_entry(&mut self, server: Life) {
     if !self.leaving.contains(server) {
-      self.leaving.read(server, self.now);
-      self.forget_leaving();
+      self.leaving.record_entry(server, self.now);
+      self.prune_leaving();
     }
   }
 
-  fn forget_leaving(&mut self) {
-    let there: Vec<Life> = self.backends.values().map(|one| one.spec.life()).collect();
-    self.leaving.forget(self.now, |life| there.contains(&life));
+  fn prune_leaving(&mut self) {
+    let listed: Vec<Life> = self
+      .backends
+      .values()
+      .map(|backend| backend.spec.life())
+      .collect();
+    self.leaving.prune(self.now, |life| listed.contains(&life));
   }
 }
--- a/src/statement/mod.rs
+++ b/src/statement/mod.rs
@@ -1,9 +1,11 @@
-//! What backend servers say of themselves in their answers, and how it reaches all instances.
+//! Statements of backend servers about themselves in their responses, and their exchange between
+//! instances.
 //!
-//! A statement is about one life of a server, whatever its entry in the store says, and whichever
-//! answer brings it: to a request, a report or an order. That a server leaves holds as long as
-//! its life. A rest that it asks
-//! for is between it and this instance. Limits are kept by `limit`, and what all instances may send there by `quota`.
+//! A statement applies to one life of a server, whatever the server's entry in the store says, and
+//! whether it comes with the response to a request, a report or an order. An announcement that a
+//! server is leaving holds until that life ends. A backoff applies only between the server and the
+//! instance that it asked. Limits are kept by `limit`, and `quota` keeps what all instances
+//! together may send under them.
 
 pub mod compliance;
 mod exchange;
@@ -18,37 +20,37 @@
 use crate::life::Life;
 use serde::{Deserialize, Serialize};
 
-/// What a server said counts for so long after it was last heard of while its entry is missing,
-/// ms: entries that lapse with the store come back within seconds, some after a minute.
+/// Time for which a statement is kept while its server's entry is missing: entries that expire
+/// during a store outage come back within seconds, some after a minute.
 pub(crate) const RETENTION_MS: u64 = 120_000;
 
-/// What a server says of itself, as instances exchange it.
+/// A server's statement about itself, as exchanged by instances.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Statement {
   pub server: Life,
   pub content: Content,
-  /// How long ago it was said, ms.
+  /// Age of the statement in ms.
   pub age_ms: u32,
 }
 
-/// What a statement says.
+/// Content of a statement.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Content {
-  /// Requests a second that the server takes; none: it names no limit any more.
+  /// Requests per second that the server accepts; `None` if it no longer names a limit.
   Limit(Option<f64>),
-  /// It takes no new work.
+  /// The server accepts no new work.
   Leaving,
 }
 
 impl Statement {
-  /// Whether it counts also where it was read late, after this process stood still: that a limit
-  /// ended may have been overtaken by a new one, and is published again.
+  /// Whether the statement still applies when it is read late, after this process was suspended.
+  /// The end of a limit does not: a new limit may have replaced it, and it is published again.
   pub fn applies_when_late(&self) -> bool {
     self.content != Content::Limit(None)
   }
 }
 
-/// How long ago something was said, ms, as statements carry it.
+/// Age in ms, as carried by statements.
 pub(crate) fn age_ms(now: u64, at: u64) -> u32 {
   u32::try_from(now.saturating_sub(at)).unwrap_or(u32::MAX)
 }
