--- a/tests/answers.rs
+++ b/tests/answers.rs
@@ -1,4 +1,4 @@
-//! Whole answers and true verdicts, whatever the connections do.
+//! Callers get complete answers and correct verdicts when connections fail.
 
 use bendsaddle::{report::Stage, verdict::Verdict};
 use serde_json::json;
@@ -20,13 +20,13 @@
     .model("contracts", 200)
 }
 
-fn ask(fleet: &Fleet, at: usize, prompt: &str) -> caller::Answer {
-  Ask::of("contracts", prompt, TOKENS as u32).send(fleet.callers(at))
+fn complete(fleet: &Fleet, instance: usize, prompt: &str) -> caller::Answer {
+  Ask::of("contracts", prompt, TOKENS as u32).send(fleet.callers(instance))
 }
 
 fn warm(fleet: &Fleet) {
-  assert!(ask(fleet, 0, "first").is(&answer("first", TOKENS)));
-  wait_for("every instance to know the replica", || {
+  assert!(complete(fleet, 0, "first").is(&answer("first", TOKENS)));
+  wait_for("every instance to report a ready replica", || {
     fleet.members.iter().all(|member| {
       let replicas = member.status()["replicas"].clone();
       replicas
@@ -36,7 +36,7 @@
   });
 }
 
-fn runs(fleet: &Fleet) -> usize {
+fn run_count(fleet: &Fleet) -> usize {
   fleet.engines.iter().map(|engine| engine.runs().len()).sum()
 }
 
@@ -46,7 +46,7 @@
   fleet.engines[0].fault(|faults| faults.disorder = true);
   for at in 0..6 {
     let prompt = format!("disorder {at}");
-    let reply = ask(&fleet, at, &prompt);
+    let reply = complete(&fleet, at, &prompt);
     assert!(reply.is(&answer(&prompt, TOKENS)), "{reply:?}");
   }
 }
@@ -55,7 +55,7 @@
 fn a_stream_that_breaks_is_resumed_and_each_token_comes_once() {
   let fleet = plan().engines(1, |_| {}).start().unwrap();
   fleet.engines[0].fault(|faults| faults.break_after = vec![5, 3]);
-  let reply = ask(&fleet, 0, "resumed");
+  let reply = complete(&fleet, 0, "resumed");
   assert!(reply.is(&answer("resumed", TOKENS)), "{reply:?}");
   assert_eq!(fleet.engines[0].runs().len(), 3);
 }
@@ -79,19 +79,19 @@
   });
   let address = fleet.callers(0).to_string();
   let request = thread::spawn(move || Ask::of("contracts", "moved", TOKENS as u32).send(&address));
-  wait_for("the stream to run", || runs(&fleet) == 1);
+  wait_for("the stream to run", || run_count(&fleet) == 1);
   let busy = usize::from(fleet.engines[1].busy() > 0);
   fleet.proxies[busy].fault(Fault::Refuse);
   let reply = request.join().unwrap();
   assert!(reply.is(&answer("moved", TOKENS)), "{reply:?}");
 }
 
-/// Breaks the next attempts in one way, and compares the verdict that the caller
-/// got with the engine's own record.
-fn verdict_is_true(fault: Fault) {
+/// Applies one connection fault to the next attempts and compares the verdict that the caller
+/// got with the runs that the engine recorded.
+fn assert_verdict_matches_runs(fault: Fault) {
   let fleet = plan().engines(1, |_| {}).start().unwrap();
   warm(&fleet);
-  let before = runs(&fleet);
+  let before = run_count(&fleet);
   fleet.proxies[0].fault(fault);
   let deadline = Duration::from_millis(2_500);
   let reply = Ask::of("contracts", "cut", TOKENS as u32)
@@ -99,7 +99,7 @@
     .send(fleet.callers(1));
   fleet.proxies[0].fault(Fault::None);
   assert!(!reply.whole || reply.status != 200, "{reply:?}");
-  let ran = runs(&fleet) > before;
+  let ran = run_count(&fleet) > before;
   if ran {
     assert_eq!(reply.verdict, Verdict::MayHaveRun.as_str(), "{reply:?}");
   }
@@ -114,39 +114,39 @@
 fn a_refused_connection_is_not_run() {
   let fleet = plan().engines(1, |_| {}).start().unwrap();
   warm(&fleet);
-  let before = runs(&fleet);
+  let before = run_count(&fleet);
   fleet.proxies[0].fault(Fault::Refuse);
   let deadline = Duration::from_millis(1_500);
   let reply = Ask::of("contracts", "refused", 5)
     .within(deadline)
     .send(fleet.callers(1));
   assert_eq!(reply.verdict, Verdict::NotRun.as_str(), "{reply:?}");
-  assert_eq!(runs(&fleet), before);
+  assert_eq!(run_count(&fleet), before);
 }
 
 #[test]
 fn the_verdict_is_true_when_the_connection_closes_at_once() {
-  verdict_is_true(Fault::Close);
+  assert_verdict_matches_runs(Fault::Close);
 }
 
 #[test]
 fn the_verdict_is_true_when_the_request_is_cut() {
-  verdict_is_true(Fault::CutRequest(40));
+  assert_verdict_matches_runs(Fault::CutRequest(40));
 }
 
 #[test]
 fn the_verdict_is_true_when_the_answer_is_lost() {
-  verdict_is_true(Fault::LoseAnswer);
+  assert_verdict_matches_runs(Fault::LoseAnswer);
 }
 
 #[test]
 fn the_verdict_is_true_when_the_answer_is_cut() {
-  verdict_is_true(Fault::CutAnswer(100));
+  assert_verdict_matches_runs(Fault::CutAnswer(100));
 }
 
 #[test]
 fn the_verdict_is_true_when_nothing_answers() {
-  verdict_is_true(Fault::Hold);
+  assert_verdict_matches_runs(Fault::Hold);
 }
 
 #[test]
@@ -167,7 +167,7 @@
   wait_for("the stream to run", || fleet.engines[0].busy() == 1);
   drop(stream);
   wait_for("the slot to be free", || fleet.engines[0].busy() == 0);
-  wait_for("the instance to forget it", || {
+  wait_for("the instance to drop the request", || {
     fleet.members[0].status()["requests"] == 0
   });
 }
@@ -192,7 +192,7 @@
     let length = std::io::Read::read(&mut stream, &mut bytes).unwrap();
     read += &String::from_utf8_lossy(&bytes[..length]);
   }
-  // The caller has a token while the engine is far from the last one.
+  // The caller has a token while the engine is still producing the others.
   assert_eq!(fleet.engines[0].busy(), 1);
   assert!(!fleet.engines[0].runs()[0].whole);
 }
@@ -220,8 +220,8 @@
   assert!(message(post("/v1/completions", &empty)).contains("prompt"));
   assert!(message(post("/v1/unknown", "")).contains("`/v1/unknown`"));
   let window = json!({ "model": "contracts", "prompts": ["a"], "completion_window_ms": 0 });
-  let said = message(post("/v1/batches", &window.to_string()));
-  assert!(said.contains("completion_window_ms: `0`"), "{said}");
+  let error = message(post("/v1/batches", &window.to_string()));
+  assert!(error.contains("completion_window_ms: `0`"), "{error}");
   let unknown = Ask::of("nobody", "prompt", 5).send(fleet.callers(0));
   assert_eq!(
     (unknown.status, unknown.reason.as_str()),
@@ -258,5 +258,5 @@
     );
     assert!(reply.retry_after_ms.is_some());
   }
-  assert_eq!(runs(&fleet), 4);
+  assert_eq!(run_count(&fleet), 4);
 }
--- a/tests/batch.rs
+++ b/tests/batch.rs
@@ -1,4 +1,4 @@
-//! Work that may wait: durable before it is accepted, finished or refused.
+//! Batches: stored durably before they are accepted, and each item is completed or refused.
 
 use bendsaddle::{
   batch::{Batch, Item},
@@ -43,33 +43,33 @@
   caller::get(fleet.callers(at), &format!("/v1/batches/{id}")).body
 }
 
-fn id(reply: &caller::Answer) -> String {
+fn accepted_id(reply: &caller::Answer) -> String {
   assert_eq!(reply.status, 202, "{reply:?}");
   reply.body["id"].as_str().unwrap().to_string()
 }
 
-fn finish(fleet: &Fleet, id: &str) -> Vec<Value> {
+fn wait_until_completed(fleet: &Fleet, id: &str) -> Vec<Value> {
   wait_for("the batch to finish", || {
     (0..fleet.members.len()).any(|at| poll(fleet, at, id)["status"] == "completed")
   });
   poll(fleet, 0, id)["items"].as_array().unwrap().clone()
 }
 
-fn done(items: &[Value]) -> usize {
-  let right = |(at, item): (usize, &Value)| item["text"] == answer(&format!("page {at}"), 5);
+fn count_correct(items: &[Value]) -> usize {
+  let is_correct = |(at, item): (usize, &Value)| item["text"] == answer(&format!("page {at}"), 5);
   items
     .iter()
     .enumerate()
-    .map(right)
-    .filter(|right| *right)
+    .map(is_correct)
+    .filter(|is_correct| *is_correct)
     .count()
 }
 
 #[test]
 fn a_batch_of_a_cold_model_is_finished_before_its_deadline() {
   let fleet = plan().engines(1, |_| {}).start().unwrap();
-  let id = id(&submit(&fleet, 0, "night", 10, 6_000));
-  assert_eq!(done(&finish(&fleet, &id)), 10);
+  let id = accepted_id(&submit(&fleet, 0, "night", 10, 6_000));
+  assert_eq!(count_correct(&wait_until_completed(&fleet, &id)), 10);
 }
 
 #[test]
@@ -78,30 +78,30 @@
     .engines(1, |options| options.token = Duration::from_millis(20))
     .start()
     .unwrap();
-  let id = id(&submit(&fleet, 0, "night", 30, 20_000));
+  let id = accepted_id(&submit(&fleet, 0, "night", 30, 20_000));
   for _ in 0..3 {
     fleet.kill(0);
     fleet.add().unwrap();
     fleet.settle();
   }
-  assert_eq!(done(&finish(&fleet, &id)), 30);
+  assert_eq!(count_correct(&wait_until_completed(&fleet, &id)), 30);
 }
 
 #[test]
 fn a_submission_repeated_at_another_instance_is_the_same_batch() {
   let fleet = plan().engines(1, |_| {}).start().unwrap();
   fleet.platform.fault(|faults| faults.lose_answers = 1);
-  let first = id(&submit(&fleet, 0, "night", 3, 60_000));
+  let first = accepted_id(&submit(&fleet, 0, "night", 3, 60_000));
   let reply = submit(&fleet, 1, "night", 3, 60_000);
-  assert_eq!(id(&reply), first);
+  assert_eq!(accepted_id(&reply), first);
 }
 
 #[test]
 fn items_not_finished_by_the_deadline_are_reported_as_refused() {
   let fleet = plan().engines(1, |_| {}).start().unwrap();
   fleet.proxies[0].fault(Fault::Refuse);
-  let id = id(&submit(&fleet, 0, "night", 4, 1_500));
-  for item in finish(&fleet, &id) {
+  let id = accepted_id(&submit(&fleet, 0, "night", 4, 1_500));
+  for item in wait_until_completed(&fleet, &id) {
     assert_eq!(
       (item["state"].as_str(), item["reason"].as_str()),
       (Some("refused"), Some("deadline"))
@@ -113,11 +113,11 @@
 fn a_batch_can_be_cancelled_and_an_unknown_one_is_told() {
   let fleet = plan().engines(1, |_| {}).start().unwrap();
   fleet.proxies[0].fault(Fault::Refuse);
-  let id = id(&submit(&fleet, 0, "night", 4, 60_000));
+  let id = accepted_id(&submit(&fleet, 0, "night", 4, 60_000));
   let path = format!("/v1/batches/{id}/cancel");
   assert_eq!(caller::call(fleet.callers(1), &path, None, "").status, 200);
   let cancelled = |item: &Value| item["state"] == "cancelled";
-  assert!(finish(&fleet, &id).iter().all(cancelled));
+  assert!(wait_until_completed(&fleet, &id).iter().all(cancelled));
   assert_eq!(
     caller::get(fleet.callers(0), "/v1/batches/none").status,
     404
@@ -161,7 +161,7 @@
     .unwrap();
   let warm = Ask::of("archive", "warm", 2).send(fleet.callers(0));
   assert!(warm.is(&answer("warm", 2)), "{warm:?}");
-  let id = id(&submit(&fleet, 0, "night", 40, 60_000));
+  let id = accepted_id(&submit(&fleet, 0, "night", 40, 60_000));
   wait_for("an item to run", || fleet.engines[0].runs().len() > 1);
   let threads: Vec<_> = (0..12)
     .map(|at| {
@@ -173,14 +173,14 @@
     let reply = thread.join().unwrap();
     assert!(reply.is(&answer(&format!("clerk {at}"), 5)), "{reply:?}");
   }
-  // The batch had far more items waiting than the clerks' requests let pass.
+  // The batch has far more items than can run before the interactive requests are answered.
   assert!(poll(&fleet, 0, &id)["waiting"].as_u64().unwrap() > 0);
-  assert_eq!(done(&finish(&fleet, &id)), 40);
+  assert_eq!(count_correct(&wait_until_completed(&fleet, &id)), 40);
 }
 
 #[test]
 fn a_finished_batch_is_removed_a_day_after_its_deadline() {
-  let me = Identity {
+  let identity = Identity {
     instance: "entry-0".into(),
     zone: "zone".into(),
     peer_address: "10.0.0.1:1".into(),
@@ -189,11 +189,12 @@
     seeds: Vec::new(),
   };
   let now = 100_000_000;
-  let mut state = State::new(me, Limits::default(), 1, now);
+  let mut state = State::new(identity, Limits::default(), 1, now);
   let listed = Event::BatchesListed(vec![("old".into(), 5)]);
   let effects = reduce(&mut state, now, listed);
-  let reads = |effect: &Effect| matches!(effect, Effect::Update { name, .. } if name.name == "old");
-  assert!(effects.iter().any(reads), "{effects:?}");
+  let is_read =
+    |effect: &Effect| matches!(effect, Effect::Update { name, .. } if name.name == "old");
+  assert!(effects.iter().any(is_read), "{effects:?}");
   let batch = Batch {
     model: "archive".into(),
     deadline: 1_000,
--- a/tests/capacity.rs
+++ b/tests/capacity.rs
@@ -1,4 +1,4 @@
-//! The measured slopes, put against the limits of the two-year size.
+//! Compares the measured slopes with the limits for the size expected in two years.
 
 use serde_json::{Value, json};
 use stand_ins::{budget, capacity::fit};
@@ -39,10 +39,10 @@
     let memory = row["memoryMb"].as_f64().unwrap();
     row["memoryMb"] = json!(memory * 10.0);
   }
-  let broken = budget::broken(&measured);
+  let violations = budget::broken(&measured);
   assert!(
-    broken.iter().any(|text| text.starts_with("memory")),
-    "{broken:?}"
+    violations.iter().any(|text| text.starts_with("memory")),
+    "{violations:?}"
   );
 }
 
@@ -58,6 +58,6 @@
 
 #[test]
 fn a_line_through_points_is_found() {
-  let (slope, start) = fit(&[(0.0, 1.0), (1.0, 3.0), (2.0, 5.0)]);
-  assert!((slope - 2.0).abs() < 1e-9 && (start - 1.0).abs() < 1e-9);
+  let (slope, intercept) = fit(&[(0.0, 1.0), (1.0, 3.0), (2.0, 5.0)]);
+  assert!((slope - 2.0).abs() < 1e-9 && (intercept - 1.0).abs() < 1e-9);
 }
--- a/tests/clock.rs
+++ b/tests/clock.rs
@@ -1,8 +1,8 @@
-//! Time for which a machine is suspended passes for all that is decided by time.
+//! All timeouts count the time for which a machine is suspended.
 //!
-//! The steady clock leaves it out. An instance that woke after some seconds took a lapsed
-//! lease for its own, sent what it had decided before, and answered requests by a view of
-//! before as if it were fresh. Shown here only by a clock that jumps; no machine is suspended.
+//! The steady clock excludes that time. An instance that resumed after several seconds used an
+//! expired lease, sent orders decided before the suspension, and answered requests from outdated
+//! state as if it were current. The tests only move the clock forward; no machine is suspended.
 
 use bendsaddle::{
   clock::{Moment, Suspension, skip},
@@ -21,37 +21,40 @@
   time::Duration,
 };
 
-const AWAY: Duration = Duration::from_secs(10);
+const SUSPENSION: Duration = Duration::from_secs(10);
 
-/// One test at a time: all see the same clock.
-static ALONE: Mutex<()> = Mutex::new(());
+/// Serializes the tests, which share one clock.
+static CLOCK_LOCK: Mutex<()> = Mutex::new(());
 
-fn alone() -> MutexGuard<'static, ()> {
-  ALONE.lock().unwrap_or_else(PoisonError::into_inner)
+fn lock_clock() -> MutexGuard<'static, ()> {
+  CLOCK_LOCK.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 #[test]
 fn time_away_passes() {
-  let _alone = alone();
+  let _guard = lock_clock();
   let before = Moment::now();
-  skip(AWAY);
-  assert!(before.elapsed() >= AWAY);
+  skip(SUSPENSION);
+  assert!(before.elapsed() >= SUSPENSION);
   assert_eq!(before - Moment::now(), Duration::ZERO, "never negative");
 }
 
 #[test]
 fn a_suspension_is_noticed_once() {
-  let _alone = alone();
+  let _guard = lock_clock();
   let mut suspension = Suspension::start();
-  skip(AWAY);
-  let away = suspension.take().expect("a suspension");
-  // The two clocks are read one after the other, and other tests skip time too.
-  assert!(away >= AWAY - Duration::from_millis(100), "{away:?}");
+  skip(SUSPENSION);
+  let suspended_for = suspension.take().expect("a suspension");
+  // The two clocks are not read at the same instant, and other tests move the clock as well.
+  assert!(
+    suspended_for >= SUSPENSION - Duration::from_millis(100),
+    "{suspended_for:?}"
+  );
 }
 
 #[test]
 fn an_order_decided_before_is_not_sent_after() {
-  let _alone = alone();
+  let _guard = lock_clock();
   let listener = TcpListener::bind("127.0.0.1:0").unwrap();
   listener.set_nonblocking(true).unwrap();
   let call = Call {
@@ -64,7 +67,7 @@
     total_timeout: Duration::from_millis(100),
     send_before: Some(Moment::now() + Duration::from_secs(2)),
   };
-  skip(AWAY);
+  skip(SUSPENSION);
   let sent = Client::default().send(listener.local_addr().unwrap(), &call);
   assert!(matches!(sent, Err(Failure::NotSent)));
 }
@@ -81,25 +84,25 @@
 
 #[test]
 fn a_lease_lapses_while_its_holder_is_away() {
-  let _alone = alone();
+  let _guard = lock_clock();
   let hub = hub();
   let address = "127.0.0.1:1".parse().unwrap();
   let mut lease = Lease::new("machine", address, 3_000, 0, 0);
-  let record = take(&mut lease, hub.now());
+  let record = acquire(&mut lease, hub.now());
   assert!(lease.term(hub.now()).is_some(), "{record}");
-  skip(AWAY);
+  skip(SUSPENSION);
   assert!(lease.term(hub.now()).is_none());
   assert!(lease.heartbeat(hub.now()).is_none() || lease.valid_until() < hub.now());
 }
 
-/// Takes a lease that nobody holds; what was written.
-fn take(lease: &mut Lease, from: u64) -> String {
+/// Acquires a lease that nobody holds; returns the record that was written, as JSON.
+fn acquire(lease: &mut Lease, start: u64) -> String {
   use bendsaddle::{lease, store};
   let mut written = String::new();
-  // A lease is free once nobody was heard of for its time.
-  for now in (from..from + 20_000).step_by(50) {
+  // A lease becomes free when no heartbeat arrives for its duration.
+  for now in (start..start + 20_000).step_by(50) {
     if lease.term(now).is_some() {
-      skip(Duration::from_millis(now - from));
+      skip(Duration::from_millis(now - start));
       break;
     }
     let Some(call) = lease.next_call(now, false) else {
@@ -123,13 +126,13 @@
 
 #[test]
 fn a_moment_of_the_hub_stays_where_it_is() {
-  let _alone = alone();
+  let _guard = lock_clock();
   let hub = hub();
-  let until = hub.now() + 5_000;
-  let moment = hub.instant(until);
+  let deadline = hub.now() + 5_000;
+  let moment = hub.instant(deadline);
   assert!(moment > Moment::now());
-  skip(AWAY);
-  assert!(hub.now() > until);
+  skip(SUSPENSION);
+  assert!(hub.now() > deadline);
   assert!(moment < Moment::now());
 }
 
@@ -143,8 +146,8 @@
   }
 }
 
-// The steady clock stays out of all decisions: only the clock's own module reads it, to notice
-// that it stood still.
+// No decision uses the steady clock: only the clock module reads it, to detect that it stopped
+// during a suspension.
 #[test]
 fn no_source_but_the_clock_reads_the_steady_clock() {
   let root = Path::new(env!("CARGO_MANIFEST_DIR"));
@@ -152,8 +155,8 @@
   sources(&root.join("src"), &mut found);
   sources(&root.join("platform/src"), &mut found);
   assert!(found.len() > 100, "{} sources", found.len());
-  let own = root.join("src/clock.rs");
-  for path in found.into_iter().filter(|path| *path != own) {
+  let clock_module = root.join("src/clock.rs");
+  for path in found.into_iter().filter(|path| *path != clock_module) {
     let text = std::fs::read_to_string(&path).expect("a source");
     let uses = text.lines().position(|line| line.contains("Instant"));
     assert_eq!(uses, None, "{}", path.display());
--- a/tests/commands.rs
+++ b/tests/commands.rs
@@ -1,4 +1,4 @@
-//! The command line against running instances.
+//! Runs the command-line program against running instances.
 
 use serde_json::{Value, json};
 use stand_ins::{
@@ -14,7 +14,7 @@
   Command::new(PROGRAM).args(args).output().unwrap()
 }
 
-fn said(args: &[&str]) -> String {
+fn stdout(args: &[&str]) -> String {
   let output = run(args);
   assert!(output.status.success(), "{output:?}");
   String::from_utf8_lossy(&output.stdout).into_owned()
@@ -43,26 +43,34 @@
       .send(fleet.callers(at));
     assert!(reply.is(&answer("prompt", 3)), "{reply:?}");
   }
-  let operators = &fleet.members[0].operators;
+  let operator_address = &fleet.members[0].operators;
   // Requests may be served before the deciding instance itself sees the replica.
-  let merged = || said(&["timeline", "--instance", operators]);
+  let merged = || stdout(&["timeline", "--instance", operator_address]);
   wait_for("the load to be recorded", || merged().contains("\"ready\""));
   let text = merged();
-  let at = |word: &str| {
+  let position = |event: &str| {
     text
-      .find(word)
-      .unwrap_or_else(|| panic!("{word} in {text}"))
+      .find(event)
+      .unwrap_or_else(|| panic!("{event} in {text}"))
   };
-  assert!(at("\"decided\"") < at("\"ordered\"") && at("\"ordered\"") < at("\"ready\""));
-  let trace: Value =
-    serde_json::from_str(&said(&["timeline", "--instance", operators, "--trace"])).unwrap();
+  assert!(
+    position("\"decided\"") < position("\"ordered\"")
+      && position("\"ordered\"") < position("\"ready\"")
+  );
+  let trace: Value = serde_json::from_str(&stdout(&[
+    "timeline",
+    "--instance",
+    operator_address,
+    "--trace",
+  ]))
+  .unwrap();
   let events = trace["traceEvents"].as_array().unwrap();
   assert!(
     events
       .iter()
       .any(|event| event["name"] == "ready" && event["ph"] == "X")
   );
-  let status = said(&["status", "--instance", operators]);
+  let status = stdout(&["status", "--instance", operator_address]);
   assert!(
     status.contains("selected by all (precedence 0)"),
     "{status}"
@@ -87,13 +95,13 @@
   policies.sort_unstable();
   assert_eq!(policies, ["all", "trial"]);
   let plot = std::env::temp_dir().join(format!("bendsaddle-plot-{}.svg", std::process::id()));
-  let operators = &fleet.members[1].operators;
-  let text = said(&[
+  let operator_address = &fleet.members[1].operators;
+  let text = stdout(&[
     "compare",
     "all",
     "trial",
     "--instance",
-    operators,
+    operator_address,
     "--plot",
     plot.to_str().unwrap(),
   ]);
@@ -120,13 +128,13 @@
   assert_eq!(reply.status, 200);
   let unknown = Ask::of("nobody", "prompt", 3).send(fleet.callers(0));
   assert_eq!(unknown.status, 404);
-  let page = || caller::get(&fleet.members[0].operators, "/metrics").raw;
+  let metrics = || caller::get(&fleet.members[0].operators, "/metrics").raw;
   wait_for("the cold start to be counted", || {
-    page().contains("cold_start_seconds_count")
+    metrics().contains("cold_start_seconds_count")
   });
   let refusal = "reason=\"unknown-model\",verdict=\"not-run\"";
-  assert!(page().contains(refusal), "{}", page());
-  assert!(page().contains("platform_calls_total"), "{}", page());
+  assert!(metrics().contains(refusal), "{}", metrics());
+  assert!(metrics().contains("platform_calls_total"), "{}", metrics());
 }
 
 #[test]
@@ -150,7 +158,7 @@
   for (args, text) in cases {
     let output = run(args);
     assert!(!output.status.success());
-    let said = String::from_utf8_lossy(&output.stderr).into_owned();
-    assert!(said.contains(text), "{args:?}: {said}");
+    let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
+    assert!(stderr.contains(text), "{args:?}: {stderr}");
   }
 }
