--- a/tests/customers.rs
+++ b/tests/customers.rs
@@ -1,4 +1,4 @@
-//! Customers: their keys, their quotas over a fleet, their turns.
+//! Customers: their keys, their quotas over a fleet, and fair ordering between them.
 
 mod fleet_quota;
 
@@ -7,7 +7,7 @@
   http::Headers,
   quota::{Allowance, Balances, Decision, Grant, Id, Quota, Window},
 };
-use fleet_quota::{Story, Way, play};
+use fleet_quota::{Scenario, Strategy, simulate};
 use quickcheck::quickcheck;
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 
@@ -30,7 +30,7 @@
   )
 }
 
-fn found(lines: &[(&str, &str)]) -> Result<Caller, Rejection> {
+fn identify(lines: &[(&str, &str)]) -> Result<Caller, Rejection> {
   let book = Directory::new(vec![
     customer("one", &["k1", "k2"]),
     customer("two", &["k3"]),
@@ -46,31 +46,34 @@
     ("bearer  k2 ", "one"),
     ("BEARER k3", "two"),
   ] {
-    let caller = found(&[("Authorization", value)]).unwrap();
+    let caller = identify(&[("Authorization", value)]).unwrap();
     assert_eq!(caller.customer, Id::for_customer(name), "{value}");
     assert_eq!(caller.cost, 200);
   }
   let usage = [("authorization", "Bearer k1"), ("Usage", "1460,80")];
-  assert_eq!(found(&usage).unwrap().cost, 1_540);
+  assert_eq!(identify(&usage).unwrap().cost, 1_540);
 }
 
 #[test]
 fn what_is_no_known_key_names_nobody() {
   for value in ["", "Bearer", "Bearer ", "Basic k1", "k1", "Bearerk1"] {
-    assert_eq!(found(&[("Authorization", value)]), Err(Rejection::Missing));
+    assert_eq!(
+      identify(&[("Authorization", value)]),
+      Err(Rejection::Missing)
+    );
   }
-  let other = found(&[("Authorization", "Bearer K1")]);
+  let other = identify(&[("Authorization", "Bearer K1")]);
   assert_eq!(other, Err(Rejection::Unknown));
   let twice = [
     ("Authorization", "Bearer k1"),
     ("authorization", "Bearer k1"),
   ];
-  assert_eq!(found(&twice), Err(Rejection::Missing));
-  assert_eq!(found(&[]), Err(Rejection::Missing));
+  assert_eq!(identify(&twice), Err(Rejection::Missing));
+  assert_eq!(identify(&[]), Err(Rejection::Missing));
 }
 
 quickcheck! {
-  /// Whatever stands in the headers, nobody is found without exactly one of the known keys.
+  /// No headers identify a caller without exactly one known key.
   fn nobody_is_found_without_a_key(lines: Vec<(String, String)>, scheme: String) -> bool {
     let mut lines: Vec<(&str, &str)> = lines
       .iter()
@@ -78,10 +81,10 @@
       .collect();
     let own = format!("{scheme}k9");
     lines.push(("Authorization", &own));
-    found(&lines).is_err()
+    identify(&lines).is_err()
   }
 
-  /// A digest survives its text and is never one of another text.
+  /// A digest is parsed back from its text, and another text never gives the same digest.
   fn digests_are_read_back(key: Vec<u8>, text: String) -> bool {
     let digest = Digest::of(&key);
     Digest::parse(&digest.hex()) == Some(digest)
@@ -97,7 +100,7 @@
     customer.quota = Some(Quota { rate, burst });
     customer
   };
-  for (customers, fault) in [
+  for (customers, error) in [
     (
       vec![customer("one", &["k"]), customer("two", &["k"])],
       "keys: customers `one` and `two` share one",
@@ -120,14 +123,14 @@
       "burst: `NaN` of customer `q` is not a quota",
     ),
   ] {
-    assert_eq!(Directory::new(customers), Err(fault.to_string()));
+    assert_eq!(Directory::new(customers), Err(error.to_string()));
   }
-  let fine = vec![
+  let valid = vec![
     customer("one", &["k", "k"]),
     customer("two", &[]),
     quota(0.0, 0.0),
   ];
-  assert!(Directory::new(fine).is_ok());
+  assert!(Directory::new(valid).is_ok());
 }
 
 #[test]
@@ -168,7 +171,7 @@
   purse.refund(id, 400);
   assert_eq!(spend(&mut purse, 1_050), Decision::Granted);
   assert_eq!(purse.usage(1_050, id), (400, 100));
-  // Its grant is over.
+  // Its grant has expired.
   purse.refund(id, 400);
   assert_ne!(spend(&mut purse, 3_060), Decision::Granted);
 }
@@ -183,70 +186,73 @@
   }
   waiting.sort();
   let last = waiting.iter().rposition(|(_, who)| *who != large).unwrap();
-  assert!(last < 16, "a small one waits for {last} others");
-  // A customer that comes later begins where the others are, and is owed nothing for before.
+  assert!(
+    last < 16,
+    "a small customer waits for {last} other requests"
+  );
+  // A customer that arrives later starts at the current tag, without credit for earlier turns.
   turns.record_dispatch(50_000);
   assert_eq!(turns.tag(Id(99), 1_000), 50_000);
 }
 
-/// A fleet of the users' size: few large customers, many small ones.
-fn story(seed: u64) -> Story {
-  Story {
+/// A fleet of the users' size, with a few large customers and more small ones.
+fn scenario(seed: u64) -> Scenario {
+  Scenario {
     seed,
     instances: 71,
     usual: vec![
       150_000.0, 80_000.0, 40_000.0, 20_000.0, 10_000.0, 5_000.0, 4_000.0, 2_000.0,
     ],
-    hot: None,
-    moves: None,
-    herd: None,
-    cut: None,
-    frozen: None,
+    hot_customer: None,
+    pinned_customer: None,
+    kill: None,
+    partitioned: None,
+    suspended: None,
     loss: 0.01,
     length_ms: 24_000,
   }
 }
 
-/// Stories with a name each.
-fn stories() -> Vec<(&'static str, Story)> {
-  let hot = |who| Some((who, 7.5, 8_000, 16_000));
+/// Scenarios with their names.
+fn scenarios() -> Vec<(&'static str, Scenario)> {
+  let hot_customer = |who| Some((who, 7.5, 8_000, 16_000));
   vec![
-    ("quiet", story(1)),
+    ("quiet", scenario(1)),
     (
       "a large one 7.5 times its usual",
-      Story {
-        hot: hot(0),
-        ..story(2)
+      Scenario {
+        hot_customer: hot_customer(0),
+        ..scenario(2)
       },
     ),
     (
       "a small one 7.5 times its usual",
-      Story {
-        hot: hot(5),
-        ..story(3)
+      Scenario {
+        hot_customer: hot_customer(5),
+        ..scenario(3)
       },
     ),
     (
       "all callers of one move to one instance",
-      Story {
-        moves: Some((1, 8_000)),
-        ..story(4)
+      Scenario {
+        pinned_customer: Some((1, 8_000)),
+        ..scenario(4)
       },
     ),
     (
       "half of all instances and the holder die",
-      Story {
-        herd: Some((0.5, 10_000, true)),
-        hot: hot(0),
-        ..story(5)
+      Scenario {
+        kill: Some((0.5, 10_000, true)),
+        hot_customer: hot_customer(0),
+        ..scenario(5)
       },
     ),
     (
       "one is cut off from all",
-      Story {
-        cut: Some((1, 8_000, 16_000)),
-        hot: hot(1),
-        ..story(6)
+      Scenario {
+        partitioned: Some((1, 8_000, 16_000)),
+        hot_customer: hot_customer(1),
+        ..scenario(6)
       },
     ),
   ]
@@ -254,49 +260,53 @@
 
 #[test]
 fn no_window_holds_more_than_a_quota_allows() {
-  for (name, story) in stories() {
-    let outcome = play(&story, Way::Asked);
+  for (name, scenario) in scenarios() {
+    let outcome = simulate(&scenario, Strategy::Requested);
     assert!(outcome.worst <= 1.0, "{name}: {:.3}", outcome.worst);
   }
 }
 
 #[test]
 fn what_is_within_a_quota_is_seldom_refused() {
-  for (name, story) in stories() {
-    let outcome = play(&story, Way::Asked);
+  for (name, scenario) in scenarios() {
+    let outcome = simulate(&scenario, Strategy::Requested);
     let refused = outcome.refused as f64 / outcome.within.max(1) as f64;
     let most = if name == "quiet" { 0.005 } else { 0.02 };
     assert!(refused < most, "{name}: {refused:.4} of {}", outcome.within);
   }
 }
 
-/// The ways that were weighed, with their figures: `cargo test ways -- --nocapture`.
+/// Compares the strategies; `cargo test the_way -- --nocapture` prints the figures of each.
 #[test]
 fn the_way_that_asks_refuses_least() {
   let mut sums = [0.0; 3];
-  for (name, story) in stories() {
-    for (sum, way) in sums.iter_mut().zip([Way::Equal, Way::Leases, Way::Asked]) {
-      let outcome = play(&story, way);
+  for (name, scenario) in scenarios() {
+    for (sum, strategy) in
+      sums
+        .iter_mut()
+        .zip([Strategy::Equal, Strategy::Leases, Strategy::Requested])
+    {
+      let outcome = simulate(&scenario, strategy);
       let refused = outcome.refused as f64 / outcome.within.max(1) as f64;
       *sum += refused;
       println!(
         "{name}: worst window {:.3}, refused within quota {refused:.4}, messages a second {}",
         outcome.worst,
-        outcome.messages * 1_000 / story.length_ms as usize
+        outcome.messages * 1_000 / scenario.length_ms as usize
       );
     }
   }
   assert!(sums[2] < sums[0] && sums[2] < sums[1], "{sums:?}");
 }
 
-/// Histories of deaths, suspensions, partitions and late messages, all drawn.
-fn drawn(seed: u64, what: u8, at: u16, count: u8) -> Story {
+/// A random scenario of failures, suspensions, partitions and late messages.
+fn random_scenario(seed: u64, what: u8, at: u16, count: u8) -> Scenario {
   let at = 2_000 + u64::from(at) % 8_000;
   let span = Some((1 + usize::from(count) % 6, at, at + 4_000));
-  let mut story = Story {
+  let mut scenario = Scenario {
     instances: 20,
     usual: vec![120_000.0, 30_000.0, 6_000.0],
-    hot: Some((
+    hot_customer: Some((
       usize::from(count) % 3,
       7.5,
       at.saturating_sub(2_000),
@@ -304,23 +314,23 @@
     )),
     loss: 0.05,
     length_ms: 16_000,
-    ..story(seed)
+    ..scenario(seed)
   };
   if what & 1 > 0 {
-    story.herd = Some((0.5, at, what & 2 > 0));
+    scenario.kill = Some((0.5, at, what & 2 > 0));
   }
   if what & 4 > 0 {
-    story.cut = span;
+    scenario.partitioned = span;
   }
   if what & 8 > 0 {
-    story.frozen = span;
+    scenario.suspended = span;
   }
-  story
+  scenario
 }
 
-/// Histories that broke the bound while the quotas were built: a holder that knew too little of
-/// what was used before it, shares that were drawn for again and again, too much granted ahead.
-const BROKE: [(u64, u8, u16, u8); 6] = [
+/// Histories in which usage has exceeded the bound. Causes: a holder that knew too little of the
+/// usage before its term, shares that were granted repeatedly, too much granted in advance.
+const PAST_VIOLATIONS: [(u64, u8, u16, u8); 6] = [
   (0, 183, 0, 0),
   (0, 59, 0, 0),
   (0, 191, 0, 0),
@@ -328,15 +338,19 @@
   (0, 3, 0, 0),
   (3, 8, 37_766, 95),
 ];
-/// Further histories, drawn from a fixed seed: the verdict is the same each time.
-const DRAWN: usize = 120;
+/// Number of further histories, drawn from a fixed seed so that the result is reproducible.
+const RANDOM_HISTORIES: usize = 120;
 
 #[test]
 fn the_sum_over_any_window_stays_under_the_bound_in_any_history() {
   let mut rng = SmallRng::seed_from_u64(8_000);
-  let drawn = (0..DRAWN).map(|_| rng.random::<(u64, u8, u16, u8)>());
-  for (seed, what, at, count) in BROKE.into_iter().chain(drawn) {
-    let worst = play(&self::drawn(seed, what, at, count), Way::Asked).worst;
+  let random = (0..RANDOM_HISTORIES).map(|_| rng.random::<(u64, u8, u16, u8)>());
+  for (seed, what, at, count) in PAST_VIOLATIONS.into_iter().chain(random) {
+    let worst = simulate(
+      &self::random_scenario(seed, what, at, count),
+      Strategy::Requested,
+    )
+    .worst;
     assert!(worst <= 1.0, "({seed}, {what}, {at}, {count}): {worst:.3}");
   }
 }
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -1,4 +1,4 @@
-//! Decisions of one reducer, answered step by step.
+//! Decisions of a single reducer, with the result of each effect supplied step by step.
 
 use bendsaddle::{
   effect::Effect,
@@ -16,9 +16,9 @@
 
 const START: u64 = 1_000_000;
 
-/// One instance that knows a model and two servers.
+/// An instance that has read a model and two servers, and the effects of that read.
 fn state() -> (State, Vec<Effect>) {
-  let me = Identity {
+  let identity = Identity {
     instance: "entry-0".into(),
     zone: "zone".into(),
     peer_address: "10.0.0.1:1".into(),
@@ -26,7 +26,7 @@
     boot: START,
     seeds: Vec::new(),
   };
-  let mut state = State::new(me, Limits::default(), 1, START);
+  let mut state = State::new(identity, Limits::default(), 1, START);
   let object = |kind, name: &str, version, value: serde_json::Value| Object {
     name: Name::new(kind, name),
     version,
@@ -43,7 +43,7 @@
   (state, effects)
 }
 
-fn asked() -> Event {
+fn request_arrived() -> Event {
   Event::RequestArrived(Descriptor {
     ticket: Ticket(1),
     work: Work::Model {
@@ -55,8 +55,8 @@
   })
 }
 
-/// The update or read of the model's record among the effects.
-fn of_record(effects: &[Effect]) -> Option<(Tag, Name, Option<Change>)> {
+/// Returns the update or read of the model's record among the effects.
+fn record_update(effects: &[Effect]) -> Option<(Tag, Name, Option<Change>)> {
   effects.iter().find_map(|effect| match effect {
     Effect::Update {
       tag, name, change, ..
@@ -65,11 +65,11 @@
   })
 }
 
-fn reads(effects: &[Effect]) -> bool {
-  matches!(of_record(effects), Some((Tag::Audit { .. }, _, None)))
+fn is_read(effects: &[Effect]) -> bool {
+  matches!(record_update(effects), Some((Tag::Audit { .. }, _, None)))
 }
 
-fn answer(tag: Tag, name: Name, outcome: Outcome) -> Event {
+fn updated(tag: Tag, name: Name, outcome: Outcome) -> Event {
   Event::Updated { tag, name, outcome }
 }
 
@@ -80,16 +80,16 @@
 #[test]
 fn a_record_not_read_yet_is_read_at_once_when_someone_waits() {
   let (mut state, effects) = state();
-  let (tag, name, _) = of_record(&effects).unwrap();
-  let lost = answer(tag, name, Outcome::Unavailable);
-  assert!(!reads(&reduce(&mut state, START + 1, lost)));
-  let effects = reduce(&mut state, START + 2, asked());
-  assert!(reads(&effects), "{effects:?}");
+  let (tag, name, _) = record_update(&effects).unwrap();
+  let lost = updated(tag, name, Outcome::Unavailable);
+  assert!(!is_read(&reduce(&mut state, START + 1, lost)));
+  let effects = reduce(&mut state, START + 2, request_arrived());
+  assert!(is_read(&effects), "{effects:?}");
 }
 
-/// The server named by a decision among the effects.
-fn decided(effects: &[Effect]) -> Option<(Tag, Name, record::Record)> {
-  match of_record(effects)? {
+/// Returns the decision to add a replica among the effects, with the record that it results in.
+fn added_replica(effects: &[Effect]) -> Option<(Tag, Name, record::Record)> {
+  match record_update(effects)? {
     (tag, name, Some(Change::Model(change @ record::Change::Add { .. }))) => {
       let mut record = record::Record::default();
       record.apply(&change).ok()?;
@@ -102,20 +102,21 @@
 #[test]
 fn without_memory_a_server_with_room_is_decided_for_at_once() {
   let (mut state, effects) = state();
-  let (tag, name, _) = of_record(&effects).unwrap();
+  let (tag, name, _) = record_update(&effects).unwrap();
   let absent = stored(0, Value::Model(record::Record::default()));
-  let audited = answer(tag, name, Outcome::Applied(absent));
+  let audited = updated(tag, name, Outcome::Applied(absent));
   reduce(&mut state, START + 1, audited);
-  let effects = reduce(&mut state, START + 2, asked());
-  let (tag, name, record) = decided(&effects).unwrap();
+  let effects = reduce(&mut state, START + 2, request_arrived());
+  let (tag, name, record) = added_replica(&effects).unwrap();
   let first = record.replicas[0].server.clone();
   let value = Value::Model(record);
   let mut effects = reduce(
     &mut state,
     START + 3,
-    answer(tag, name, Outcome::Applied(stored(20, value.clone()))),
+    updated(tag, name, Outcome::Applied(stored(20, value.clone()))),
   );
-  // No memory; withdrawn; no reservation; forgotten.
+  // The reservation is rejected for lack of memory, the decision is withdrawn, there is no
+  // reservation to release, and the replica is removed from the record.
   for at in 4..8 {
     let update = effects.iter().find_map(|effect| match effect {
       Effect::Update {
@@ -136,8 +137,8 @@
       Change::Server(_) => Outcome::Rejected(Rejection::Server(ledger::Rejection::Missing), empty),
       _ => Outcome::Applied(none),
     };
-    effects = reduce(&mut state, START + at, answer(tag, name, outcome));
+    effects = reduce(&mut state, START + at, updated(tag, name, outcome));
   }
-  let (_, _, record) = decided(&effects).unwrap_or_else(|| panic!("{effects:?}"));
+  let (_, _, record) = added_replica(&effects).unwrap_or_else(|| panic!("{effects:?}"));
   assert_ne!(record.replicas[0].server, first);
 }
--- a/tests/departures.rs
+++ b/tests/departures.rs
@@ -1,4 +1,4 @@
-//! How long instances go on sending to servers that have left, from their logs.
+//! Computes from logs how long instances continue to send to servers that have left.
 
 use bendsaddle::{
   departures::{LastSend, histogram, last_sends},
@@ -6,7 +6,7 @@
   statement::compliance::{last_send_after_leaving, sends_during_backoff},
 };
 
-/// A line of an instance at some seconds, with more fields.
+/// A log line of an instance at a time in seconds, with further fields.
 fn line(at: f64, instance: &str, msg: &str, fields: &str) -> Line {
   let text = format!(
     r#"{{"msg":"{msg}","ts":"2026-01-01T00:00:{at:06.3}Z","instance":"{instance}","server":"s",{fields}}}"#
@@ -31,28 +31,28 @@
   line(at, instance, "server", r#""stage":"Ready""#)
 }
 
-/// What each instance's last send comes to, by its name.
-fn after(last: &[LastSend]) -> Vec<(&str, u64)> {
-  let mut after: Vec<(&str, u64)> = last
+/// Delay of each instance's last send, ms, by the name of the instance.
+fn delays(last: &[LastSend]) -> Vec<(&str, u64)> {
+  let mut delays: Vec<(&str, u64)> = last
     .iter()
-    .map(|one| (one.instance.as_str(), one.after_ms))
+    .map(|send| (send.instance.as_str(), send.after_ms))
     .collect();
-  after.sort();
-  after
+  delays.sort();
+  delays
 }
 
 #[test]
 fn a_last_send_is_measured_from_the_first_line_that_names_the_departure() {
-  let gone = line(2.0, "two", "server is gone", r#""why":"removed""#);
+  let removal = line(2.0, "two", "server is gone", r#""why":"removed""#);
   let lines = vec![
     sent(4.1, "one"),
     missing(2.5, "one"),
     sent(3.0, "one"),
     sent(1.9, "two"),
-    gone,
+    removal,
   ];
   let last = last_sends(lines);
-  assert_eq!(after(&last), [("one", 2_000), ("two", 0)]);
+  assert_eq!(delays(&last), [("one", 2_000), ("two", 0)]);
   assert_eq!(last[0].instance, "one", "the latest first");
   let rows: Vec<(u64, usize)> = histogram(&last).into_iter().collect();
   assert_eq!(rows, [(0, 1), (2_000, 1)]);
@@ -68,12 +68,12 @@
 fn a_server_that_says_that_it_leaves_is_not_back_with_an_older_line() {
   let draining = line(1.0, "one", "server", r#""stage":"Draining""#);
   let lines = vec![draining, ready(1.2, "two"), sent(1.6, "two")];
-  assert_eq!(after(&last_sends(lines)), [("two", 500)]);
+  assert_eq!(delays(&last_sends(lines)), [("two", 500)]);
 }
 
-/// A send whose answer came 20 ms later, and said more.
-fn answered(at: f64, instance: &str, said: &str) -> Line {
-  let fields = format!(r#""request":"r","took_ms":100,"head_ms":20,{said}"#);
+/// A send whose response head came 20 ms later, with further fields.
+fn answered(at: f64, instance: &str, fields: &str) -> Line {
+  let fields = format!(r#""request":"r","took_ms":100,"head_ms":20,{fields}"#);
   line(at, instance, "sent", &fields)
 }
 
@@ -86,7 +86,7 @@
     answered(9.0, "two", r#""leaving":null"#),
     answered(4.1, "three", leaving),
   ];
-  // Sent at 1.0, told at 1.02; sent again at 2.0.
+  // Sent at 1.0, informed of the departure at 1.02, sent again at 2.0.
   let one = ("one".to_string(), "s".to_string(), 980);
   let three = ("three".to_string(), "s".to_string(), 0);
   assert_eq!(last_send_after_leaving(&lines), [one, three]);
@@ -94,18 +94,18 @@
 
 #[test]
 fn sends_in_a_rest_count_from_half_a_second_after_its_begin() {
-  let rest = r#""retry_after":"3""#;
-  let none = r#""retry_after":null"#;
+  let retry_after = r#""retry_after":"3""#;
+  let no_retry_after = r#""retry_after":null"#;
   let lines = vec![
-    answered(1.1, "one", rest),
-    answered(1.6, "one", none),
-    answered(1.63, "one", none),
-    answered(3.0, "one", none),
-    answered(4.1, "one", none),
-    answered(4.2, "one", none),
-    answered(3.0, "two", none),
+    answered(1.1, "one", retry_after),
+    answered(1.6, "one", no_retry_after),
+    answered(1.63, "one", no_retry_after),
+    answered(3.0, "one", no_retry_after),
+    answered(4.1, "one", no_retry_after),
+    answered(4.2, "one", no_retry_after),
+    answered(3.0, "two", no_retry_after),
   ];
-  // Told at 1.02: from 1.52 to 4.02 those sent at 1.53, 2.9 and 4.0.
+  // Informed of the retry-after at 1.02: the sends at 1.53, 2.9 and 4.0 count, from 1.52 to 4.02.
   assert_eq!(
     sends_during_backoff(&lines),
     [("one".to_string(), "s".to_string(), 3)]
--- a/tests/dispatch.rs
+++ b/tests/dispatch.rs
@@ -1,4 +1,4 @@
-//! The reducer of routed requests: choice, retries, verdicts and refusals.
+//! Reducer of routed requests: server selection, retries, verdicts and refusals.
 
 mod requests;
 
@@ -39,7 +39,7 @@
   state
 }
 
-fn ask(ticket: u64, route: &Arc<Route>, model: Option<&str>) -> Event {
+fn arrived(ticket: u64, route: &Arc<Route>, model: Option<&str>) -> Event {
   Event::Arrived(Descriptor {
     ticket: Ticket(ticket),
     id: ticket.to_string(),
@@ -69,7 +69,7 @@
 
 #[test]
 fn a_run_that_may_have_begun_is_repeated_only_where_the_route_allows() {
-  for (repeat, stream, again) in [
+  for (repeat, stream, is_retried) in [
     (Repeat::Always, None, true),
     (Repeat::Never, None, false),
     (
@@ -91,9 +91,9 @@
   ] {
     let route = route(repeat, stream, 2);
     let mut state = state(vec![spec("one", &[]), spec("two", &[])]);
-    let first = sent(&state.reduce(1, ask(1, &route, None))).unwrap();
+    let first = sent(&state.reduce(1, arrived(1, &route, None))).unwrap();
     let effects = state.reduce(2, ended(1, End::Broken));
-    if again {
+    if is_retried {
       let second = sent(&effects).unwrap();
       assert_ne!(first, second);
       let effects = state.reduce(3, ended(1, End::Broken));
@@ -112,7 +112,7 @@
 fn a_declined_request_goes_on_and_its_refusal_is_true() {
   let route = route(Repeat::Never, None, 1);
   let mut state = state(vec![spec("one", &[]), spec("two", &[])]);
-  let first = sent(&state.reduce(1, ask(1, &route, None))).unwrap();
+  let first = sent(&state.reduce(1, arrived(1, &route, None))).unwrap();
   let second = sent(&state.reduce(2, ended(1, End::Full))).unwrap();
   assert_ne!(first, second);
   state.reduce(3, ended(1, End::Unreached));
@@ -126,7 +126,7 @@
 fn a_request_broken_once_is_never_called_not_run() {
   let route = route(Repeat::Always, None, 3);
   let mut state = state(vec![spec("one", &[]), spec("two", &[])]);
-  state.reduce(1, ask(1, &route, None));
+  state.reduce(1, arrived(1, &route, None));
   state.reduce(2, ended(1, End::Broken));
   state.reduce(3, ended(1, End::Full));
   let effects = state.reduce(5_000, Event::Recheck(Ticket(1)));
@@ -137,7 +137,7 @@
 fn a_request_waits_for_its_model_and_is_sent_when_it_is_told_of() {
   let route = route(Repeat::Always, None, 2);
   let mut state = state(vec![spec("one", &["warm"])]);
-  let effects = state.reduce(1, ask(1, &route, Some("cold/a1")));
+  let effects = state.reduce(1, arrived(1, &route, Some("cold/a1")));
   assert!(effects.contains(&Effect::ReportDemand), "{effects:?}");
   assert_eq!(sent(&effects), None);
   let demand = state.demand(101);
@@ -149,13 +149,13 @@
     leaving: Vec::new(),
     coming: None,
   };
-  let told = Event::Updated {
+  let update = Event::Updated {
     holdings: vec![holding],
     group: None,
     loads: None,
     instances: 3,
   };
-  assert_eq!(sent(&state.reduce(200, told)).as_deref(), Some("one"));
+  assert_eq!(sent(&state.reduce(200, update)).as_deref(), Some("one"));
   assert!(state.demand(200).is_empty());
 }
 
@@ -163,32 +163,32 @@
 fn an_instance_cut_off_sends_callers_elsewhere_at_once() {
   let route = route(Repeat::Never, None, 1);
   let mut state = state(vec![spec("one", &["warm"])]);
-  let told = Event::Updated {
+  let update = Event::Updated {
     holdings: Vec::new(),
     group: None,
     loads: None,
     instances: 3,
   };
-  state.reduce(1_000, told);
+  state.reduce(1_000, update);
   state.reduce(1_000, Event::StoreLost);
-  let effects = state.reduce(2_000, ask(1, &route, Some("cold")));
-  assert_eq!(refused(&effects), None, "a planner was heard of lately");
-  let effects = state.reduce(4_000, ask(2, &route, Some("cold")));
+  let effects = state.reduce(2_000, arrived(1, &route, Some("cold")));
+  assert_eq!(refused(&effects), None, "an update of a planner is recent");
+  let effects = state.reduce(4_000, arrived(2, &route, Some("cold")));
   let refusal = refused(&effects).unwrap();
   assert_eq!(refusal.verdict, Verdict::NotRun);
   assert!(refusal.retry_after.is_some());
-  let effects = state.reduce(4_000, ask(3, &route, Some("warm")));
+  let effects = state.reduce(4_000, arrived(3, &route, Some("warm")));
   assert_eq!(
     sent(&effects).as_deref(),
     Some("one"),
-    "what is held is served"
+    "a model that is held is served"
   );
-  state.reduce(4_000, back(3_000));
-  let effects = state.reduce(4_100, ask(4, &route, Some("cold")));
+  state.reduce(4_000, store_restored(3_000));
+  let effects = state.reduce(4_100, arrived(4, &route, Some("cold")));
   assert_eq!(
     refused(&effects),
     None,
-    "a planner will be found in the store"
+    "the store is available to find a planner"
   );
 }
 
@@ -203,15 +203,15 @@
     leaving: vec!["m".into()],
     coming: None,
   };
-  let told = Event::Updated {
+  let update = Event::Updated {
     holdings: vec![holding],
     group: None,
     loads: None,
     instances: 3,
   };
-  state.reduce(1, told);
+  state.reduce(1, update);
   for ticket in 0..20 {
-    let effects = state.reduce(2, ask(ticket, &route, Some("m")));
+    let effects = state.reduce(2, arrived(ticket, &route, Some("m")));
     assert_eq!(sent(&effects).as_deref(), Some("two"));
   }
 }
@@ -225,13 +225,17 @@
   state.reduce(1, Event::Servers(vec![Change::Set(leaving)]));
   state.reduce(1, Event::Servers(vec![Change::Removed("two".into())]));
   for ticket in 0..20 {
-    let effects = state.reduce(2, ask(ticket, &route, None));
+    let effects = state.reduce(2, arrived(ticket, &route, None));
     assert_eq!(sent(&effects).as_deref(), Some("three"));
   }
   let effects = state.reduce(3, ended(0, End::Replaced));
   assert_eq!(sent(&effects), None);
-  let effects = state.reduce(4_000, ask(30, &route, None));
-  assert_eq!(sent(&effects), None, "its address is another server's");
+  let effects = state.reduce(4_000, arrived(30, &route, None));
+  assert_eq!(
+    sent(&effects),
+    None,
+    "its address belongs to another server"
+  );
 }
 
 #[test]
@@ -252,7 +256,7 @@
 fn what_waits_at_a_planned_stop_is_refused_as_not_run() {
   let route = route(Repeat::Never, None, 1);
   let mut state = state(Vec::new());
-  state.reduce(1, ask(1, &route, None));
+  state.reduce(1, arrived(1, &route, None));
   state.reduce(2, Event::Stopping(500, 1_000));
   assert_eq!(refused(&state.reduce(999, Event::Recheck(Ticket(1)))), None);
   let refusal = refused(&state.reduce(1_000, Event::Recheck(Ticket(1)))).unwrap();
@@ -265,9 +269,9 @@
   let route = route(Repeat::Never, None, 1);
   let mut state = state(vec![spec("one", &[])]);
   state.reduce(1, Event::Stopping(500, 1_000));
-  let effects = state.reduce(499, ask(1, &route, None));
+  let effects = state.reduce(499, arrived(1, &route, None));
   assert!(sent(&effects).is_some());
-  let effects = state.reduce(500, ask(2, &route, None));
+  let effects = state.reduce(500, arrived(2, &route, None));
   assert_eq!(sent(&effects), None);
   let refusal = refused(&effects).unwrap();
   assert_eq!(refusal.verdict, Verdict::NotRun);
@@ -278,20 +282,20 @@
 fn repeats_of_all_instances_stay_within_the_budget() {
   let instances = 4;
   let mut budgets = vec![Budget::default(); instances];
-  let mut repeats = 0;
+  let mut retries = 0;
   for now in 0..1_000u64 {
     for budget in &mut budgets {
       if now % 10 == 0 {
         budget.record_request(now, &BOUND);
       }
-      repeats += u32::from(budget.try_retry(now, &BOUND, instances));
+      retries += u32::from(budget.try_retry(now, &BOUND, instances));
     }
   }
   let allowed = BOUND.ratio * 400.0 + BOUND.slack;
-  assert!(f64::from(repeats) <= allowed, "{repeats} of {allowed}");
+  assert!(f64::from(retries) <= allowed, "{retries} of {allowed}");
   assert!(
-    f64::from(repeats) >= allowed * 0.5,
-    "{repeats} of {allowed}"
+    f64::from(retries) >= allowed * 0.5,
+    "{retries} of {allowed}"
   );
 }
 
@@ -301,7 +305,7 @@
   let mut state = state(vec![spec("one", &["m"]), spec("two", &["m"])]);
   let mut counts = BTreeMap::new();
   for ticket in 0..40 {
-    let id = sent(&state.reduce(1, ask(ticket, &route, Some("m")))).unwrap();
+    let id = sent(&state.reduce(1, arrived(ticket, &route, Some("m")))).unwrap();
     *counts.entry(id).or_insert(0) += 1;
   }
   assert!(
@@ -310,62 +314,64 @@
   );
 }
 
-/// The store is back just now, after so long without an answer to anybody, ms.
-fn silence(length_ms: u64, over_ms: u64, failed_ms: u64) -> Outage {
-  let [length, over, failed] = [length_ms, over_ms, failed_ms].map(Duration::from_millis);
+/// An outage of the store: its length and the times since its end and since the last failed call,
+/// ms.
+fn outage(length_ms: u64, since_recovery_ms: u64, since_failure_ms: u64) -> Outage {
+  let [length, since_recovery, since_failure] =
+    [length_ms, since_recovery_ms, since_failure_ms].map(Duration::from_millis);
   Outage {
     length,
-    since_recovery: over,
-    since_failure: failed,
+    since_recovery,
+    since_failure,
   }
 }
 
-fn back(silent_ms: u64) -> Event {
-  Event::StoreBack(silence(silent_ms, 0, 0))
+fn store_restored(outage_ms: u64) -> Event {
+  Event::StoreBack(outage(outage_ms, 0, 0))
 }
 
-/// A state whose server "s" lost its entry when the store was back after a silence.
-fn lapsed(silent_ms: u64) -> (State, Vec<Effect>) {
+/// A state in which the entry of server "s" is missing after an outage of the store.
+fn with_missing_entry(outage_ms: u64) -> (State, Vec<Effect>) {
   let mut state = state(vec![spec("s", &[])]);
   state.reduce(50, Event::StoreLost);
-  state.reduce(100, back(silent_ms));
+  state.reduce(100, store_restored(outage_ms));
   let effects = state.reduce(100, Event::Servers(vec![Change::Removed("s".into())]));
   (state, effects)
 }
 
 #[test]
 fn an_entry_that_lapsed_with_the_store_may_come_back() {
-  let (mut state, _) = lapsed(4_000);
+  let (mut state, _) = with_missing_entry(4_000);
   let route = route(Repeat::Always, None, 2);
   assert_eq!(
-    sent(&state.reduce(200, ask(1, &route, None))),
+    sent(&state.reduce(200, arrived(1, &route, None))),
     Some("s".into())
   );
   state.reduce(1_600, Event::Servers(vec![Change::Set(spec("s", &[]))]));
-  let effects = state.reduce(4_100, ask(2, &route, None));
+  let effects = state.reduce(4_100, arrived(2, &route, None));
   assert_eq!(sent(&effects), Some("s".into()));
   assert!(!effects.contains(&Effect::Expired("s".into())));
 }
 
 #[test]
 fn an_entry_that_does_not_come_back_is_gone() {
-  let (mut state, _) = lapsed(4_000);
+  let (mut state, _) = with_missing_entry(4_000);
   let route = route(Repeat::Always, None, 2);
   let changes = state.changes;
-  let effects = state.reduce(2_100, ask(1, &route, None));
+  let effects = state.reduce(2_100, arrived(1, &route, None));
   assert!(
     effects.contains(&Effect::Expired("s".into())),
     "{effects:?}"
   );
   assert_eq!(sent(&effects), None);
-  assert!(state.changes > changes, "the planner is not told");
+  assert!(state.changes > changes, "the planner is not informed");
 }
 
 #[test]
 fn an_entry_that_goes_without_a_silence_of_the_store_is_gone_at_once() {
-  let (mut state, _) = lapsed(500);
+  let (mut state, _) = with_missing_entry(500);
   let route = route(Repeat::Always, None, 2);
-  assert_eq!(sent(&state.reduce(200, ask(1, &route, None))), None);
+  assert_eq!(sent(&state.reduce(200, arrived(1, &route, None))), None);
 }
 
 #[test]
@@ -374,22 +380,22 @@
   leaving.stage = Stage::Draining;
   let mut state = state(vec![leaving]);
   state.reduce(50, Event::StoreLost);
-  state.reduce(100, back(4_000));
+  state.reduce(100, store_restored(4_000));
   state.reduce(100, Event::Servers(vec![Change::Removed("s".into())]));
   assert!(state.by_id.is_empty());
 }
 
 #[test]
 fn a_store_that_falls_silent_again_gives_entries_time_anew() {
-  let (mut state, _) = lapsed(4_000);
+  let (mut state, _) = with_missing_entry(4_000);
   state.reduce(600, Event::StoreLost);
   let route = route(Repeat::Always, None, 2);
-  let effects = state.reduce(2_500, ask(1, &route, None));
+  let effects = state.reduce(2_500, arrived(1, &route, None));
   assert_eq!(sent(&effects), Some("s".into()));
-  state.reduce(2_600, back(900));
-  let effects = state.reduce(4_500, ask(2, &route, None));
+  state.reduce(2_600, store_restored(900));
+  let effects = state.reduce(4_500, arrived(2, &route, None));
   assert_eq!(sent(&effects), Some("s".into()));
-  let effects = state.reduce(4_600, ask(3, &route, None));
+  let effects = state.reduce(4_600, arrived(3, &route, None));
   assert_eq!(sent(&effects), None);
 }
 
@@ -397,32 +403,32 @@
 fn a_request_whose_time_is_over_says_nothing_of_its_server() {
   let mut state = state(vec![spec("s", &[])]);
   let route = route(Repeat::Never, None, 1);
-  assert!(sent(&state.reduce(0, ask(1, &route, None))).is_some());
+  assert!(sent(&state.reduce(0, arrived(1, &route, None))).is_some());
   let refusal = refused(&state.reduce(10, ended(1, End::Unsent))).unwrap();
   assert_eq!(refusal.reason, Reason::TooLate);
   assert_eq!(refusal.verdict, Verdict::NotRun);
-  assert!(sent(&state.reduce(20, ask(2, &route, None))).is_some());
+  assert!(sent(&state.reduce(20, arrived(2, &route, None))).is_some());
 }
 
 #[test]
 fn a_server_that_is_not_named_among_the_loads_has_none() {
   let route = route(Repeat::Never, None, 1);
   let mut state = state(vec![spec("one", &["m"]), spec("two", &["m"])]);
-  let told = |one: u16, two: u16| {
+  let update = |one: u16, two: u16| {
     let loads = [("one", one), ("two", two)];
-    let some = loads.into_iter().filter(|(_, load)| *load > 0);
+    let nonzero = loads.into_iter().filter(|(_, load)| *load > 0);
     Event::Updated {
       holdings: Vec::new(),
       group: None,
-      loads: Some(some.map(|(id, load)| (short_hash(id), load)).collect()),
+      loads: Some(nonzero.map(|(id, load)| (short_hash(id), load)).collect()),
       instances: 3,
     }
   };
-  state.reduce(1, told(6, 3));
-  let effects = state.reduce(2, ask(1, &route, Some("m")));
+  state.reduce(1, update(6, 3));
+  let effects = state.reduce(2, arrived(1, &route, Some("m")));
   assert_eq!(sent(&effects).as_deref(), Some("two"));
-  state.reduce(3, told(0, 3));
-  let effects = state.reduce(4, ask(2, &route, Some("m")));
+  state.reduce(3, update(0, 3));
+  let effects = state.reduce(4, arrived(2, &route, Some("m")));
   assert_eq!(sent(&effects).as_deref(), Some("one"));
 }
 
@@ -430,15 +436,15 @@
 fn a_caller_that_leaves_as_its_request_is_sent_counts_nowhere() {
   let route = route(Repeat::Always, None, 2);
   let mut state = state(vec![spec("s", &["m"])]);
-  assert!(sent(&state.reduce(1, ask(1, &route, Some("m")))).is_some());
-  // Its thread has not seen the decision, and nothing went out.
+  assert!(sent(&state.reduce(1, arrived(1, &route, Some("m")))).is_some());
+  // Its thread has not seen the decision, and nothing was sent.
   state.reduce(2, Event::CallerGone(Ticket(1)));
   assert!(state.running.is_empty(), "{:?}", state.running);
   assert_eq!(state.backends[state.by_id["s"]].running, 0);
 }
 
-/// The planner's word that server "s" holds a model.
-fn word_of(model: &str, all: bool) -> Event {
+/// The planner's update that server "s" holds a model; `all`: it covers all holdings.
+fn holdings_update(model: &str, all: bool) -> Event {
   Event::Updated {
     holdings: vec![Holding {
       id: "s".into(),
@@ -458,9 +464,9 @@
   let route = route(Repeat::Always, None, 2);
   for all in [false, true] {
     let mut state = state(Vec::new());
-    state.reduce(1, word_of("m", all));
+    state.reduce(1, holdings_update("m", all));
     state.reduce(2, Event::Servers(vec![Change::Set(spec("s", &[]))]));
-    let effects = state.reduce(3, ask(1, &route, Some("m")));
+    let effects = state.reduce(3, arrived(1, &route, Some("m")));
     assert_eq!(sent(&effects).as_deref(), Some("s"), "all: {all}");
   }
 }
@@ -469,66 +475,71 @@
 fn of_two_words_for_a_server_without_an_entry_the_newer_counts() {
   let route = route(Repeat::Always, None, 2);
   let mut state = state(Vec::new());
-  state.reduce(1, word_of("old", false));
-  state.reduce(2, word_of("new", true));
+  state.reduce(1, holdings_update("old", false));
+  state.reduce(2, holdings_update("new", true));
   state.reduce(3, Event::Servers(vec![Change::Set(spec("s", &[]))]));
-  assert_eq!(sent(&state.reduce(4, ask(1, &route, Some("old")))), None);
-  assert!(sent(&state.reduce(5, ask(2, &route, Some("new")))).is_some());
+  assert_eq!(
+    sent(&state.reduce(4, arrived(1, &route, Some("old")))),
+    None
+  );
+  assert!(sent(&state.reduce(5, arrived(2, &route, Some("new")))).is_some());
 }
 
 #[test]
 fn a_call_that_fails_once_gives_missing_entries_no_time_anew() {
-  let (mut state, _) = lapsed(4_000);
+  let (mut state, _) = with_missing_entry(4_000);
   state.reduce(1_900, Event::StoreLost);
-  state.reduce(2_000, back(100));
+  state.reduce(2_000, store_restored(100));
   let route = route(Repeat::Always, None, 2);
-  let effects = state.reduce(2_200, ask(1, &route, None));
-  assert_eq!(sent(&effects), None, "gone for two seconds");
+  let effects = state.reduce(2_200, arrived(1, &route, None));
+  assert_eq!(sent(&effects), None, "missing for two seconds");
 }
 
-// Another server answered at its address. What it states itself stays apart from that: the
-// holder publishes a statement only where it differs from the one before.
+// Another server responded at its address. The stage that the server states is kept separately,
+// because the holder publishes a statement only where it differs from the previous one.
 #[test]
 fn a_server_that_was_found_replaced_gets_nothing_and_states_what_it_stated() {
   let route = route(Repeat::Always, None, 2);
   let mut state = state(vec![spec("s", &["m"])]);
-  assert!(sent(&state.reduce(1, ask(1, &route, Some("m")))).is_some());
+  assert!(sent(&state.reduce(1, arrived(1, &route, Some("m")))).is_some());
   let end = End::Replaced;
   let ticket = Ticket(1);
   state.reduce(2, Event::Ended { ticket, end });
   assert_eq!(state.backends[state.by_id["s"]].spec.stage, Stage::Ready);
-  assert_eq!(sent(&state.reduce(3, ask(2, &route, Some("m")))), None);
+  assert_eq!(sent(&state.reduce(3, arrived(2, &route, Some("m")))), None);
 }
 
-// Calls of this instance failed until 900 ms before the store was back, and another one was
-// answered 300 ms before: entries that lapsed are back two seconds after that.
+// The last failed call of this instance was 900 ms before it learned of the recovery, and the store
+// responded to another instance 300 ms before it: missing entries have two seconds from that
+// response to return.
 #[test]
 fn the_time_of_missing_entries_begins_with_the_first_answer_to_anybody() {
   let mut state = state(vec![spec("s", &[])]);
   state.reduce(50, Event::StoreLost);
-  let silence = silence(4_000, 300, 900);
-  state.reduce(1_000, Event::StoreBack(silence));
+  let outage = outage(4_000, 300, 900);
+  state.reduce(1_000, Event::StoreBack(outage));
   state.reduce(1_000, Event::Servers(vec![Change::Removed("s".into())]));
   let route = route(Repeat::Always, None, 2);
-  let effects = state.reduce(2_600, ask(1, &route, None));
+  let effects = state.reduce(2_600, arrived(1, &route, None));
   assert_eq!(sent(&effects), Some("s".into()));
-  let effects = state.reduce(2_700, ask(2, &route, None));
+  let effects = state.reduce(2_700, arrived(2, &route, None));
   assert_eq!(sent(&effects), None);
 }
 
-// The store may have been back for long when this instance notices: a call into silence takes
-// seconds. A departure must not pass for a lapse once the instance counts as in touch.
+// The store may have recovered long before this instance notices, since a call without a response
+// takes seconds. A departure must not be treated as an entry lost in the outage once this instance
+// counts as connected to the store.
 #[test]
 fn missing_entries_are_not_kept_once_calls_have_passed_for_long() {
   let mut state = state(vec![spec("s", &[])]);
   state.reduce(50, Event::StoreLost);
-  let silence = silence(4_000, 0, 2_500);
-  state.reduce(2_000, Event::StoreBack(silence));
+  let outage = outage(4_000, 0, 2_500);
+  state.reduce(2_000, Event::StoreBack(outage));
   state.reduce(2_000, Event::Servers(vec![Change::Removed("s".into())]));
   let route = route(Repeat::Always, None, 2);
-  let effects = state.reduce(2_200, ask(1, &route, None));
+  let effects = state.reduce(2_200, arrived(1, &route, None));
   assert_eq!(sent(&effects), Some("s".into()));
-  let effects = state.reduce(2_500, ask(2, &route, None));
+  let effects = state.reduce(2_500, arrived(2, &route, None));
   assert_eq!(sent(&effects), None);
 }
 
@@ -536,10 +547,10 @@
 fn an_entry_that_is_removed_after_the_store_was_back_is_a_departure() {
   let mut state = state(vec![spec("s", &[]), spec("t", &[])]);
   state.reduce(50, Event::StoreLost);
-  state.reduce(100, back(4_000));
+  state.reduce(100, store_restored(4_000));
   state.reduce(100, Event::Servers(vec![Change::Removed("s".into())]));
   state.reduce(100, Event::StoreCurrent);
-  assert!(state.by_id.contains_key("s"), "it may come back");
+  assert!(state.by_id.contains_key("s"), "its entry may return");
   let effects = state.reduce(300, Event::Servers(vec![Change::Removed("t".into())]));
   assert!(
     effects.contains(&Effect::Removed("t".into())),
@@ -548,28 +559,28 @@
   assert!(!state.by_id.contains_key("t"));
 }
 
-// A list that is read again while the entry is still missing.
+// The list is read again while the entry is still missing.
 #[test]
 fn an_entry_that_is_still_missing_keeps_its_time() {
-  let (mut state, _) = lapsed(4_000);
+  let (mut state, _) = with_missing_entry(4_000);
   state.reduce(100, Event::StoreCurrent);
   state.reduce(500, Event::Servers(vec![Change::All(Vec::new())]));
   let route = route(Repeat::Always, None, 2);
-  let effects = state.reduce(2_000, ask(1, &route, None));
+  let effects = state.reduce(2_000, arrived(1, &route, None));
   assert_eq!(sent(&effects), Some("s".into()));
-  let effects = state.reduce(2_100, ask(2, &route, None));
+  let effects = state.reduce(2_100, arrived(2, &route, None));
   assert_eq!(sent(&effects), None);
 }
 
 #[test]
 fn an_entry_that_is_back_as_its_time_ends_is_kept() {
-  let (mut state, _) = lapsed(4_000);
+  let (mut state, _) = with_missing_entry(4_000);
   let effects = state.reduce(2_200, Event::Servers(vec![Change::Set(spec("s", &[]))]));
   assert!(
     !effects.contains(&Effect::Expired("s".into())),
     "{effects:?}"
   );
   let route = route(Repeat::Always, None, 2);
-  let effects = state.reduce(2_300, ask(1, &route, None));
+  let effects = state.reduce(2_300, arrived(1, &route, None));
   assert_eq!(sent(&effects), Some("s".into()));
 }
--- a/tests/era.rs
+++ b/tests/era.rs
@@ -1,4 +1,4 @@
-//! Eras of the store: it comes back from an older copy, and its revisions are given out again.
+//! Eras of the store: after a restore from an older copy, its revision numbers are assigned again.
 
 use bendsaddle::{
   feed::{Batch, Change, Event, Gate, Progress, follow},
@@ -15,20 +15,20 @@
   time::{Duration, Instant},
 };
 
-const LONG: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 
 fn at(era: u64, number: u64) -> Revision {
   Revision { era, number }
 }
 
-/// A store of one object, at a revision and with a content.
+/// State of a store with one object.
 #[derive(Clone, Copy)]
 struct Shared {
   revision: Revision,
-  /// Changed last at this number.
+  /// Revision number of the object's last change.
   content: u64,
-  /// A watch from a number that it does not have is refused.
-  refuses: bool,
+  /// Whether a watch from a later number than its own is refused.
+  refuses_future: bool,
 }
 
 type Server = Arc<Mutex<Shared>>;
@@ -42,10 +42,10 @@
 }
 
 fn store(server: &Server) -> Store {
-  let (listed, watched) = (server.clone(), server.clone());
+  let (list_state, watch_state) = (server.clone(), server.clone());
   Store {
     list: Box::new(move |_, _| {
-      let shared = *listed.lock().unwrap();
+      let shared = *list_state.lock().unwrap();
       Ok(Page {
         objects: vec![object(&shared)],
         more: false,
@@ -55,8 +55,8 @@
     watch: Box::new(move |_, from, wait| {
       let until = Instant::now() + wait;
       loop {
-        let shared = *watched.lock().unwrap();
-        if shared.refuses && from.number > shared.revision.number {
+        let shared = *watch_state.lock().unwrap();
+        if shared.refuses_future && from.number > shared.revision.number {
           return Err(Error::HistoryGone);
         }
         let changed = shared.content > from.number;
@@ -75,12 +75,12 @@
   }
 }
 
-/// A store in its first era that is followed, and the contents that are taken up.
-fn followed(gate: &Arc<Gate>, refuses: bool) -> (Server, Receiver<String>) {
+/// A followed store in its first era, and a channel of the contents that the follower receives.
+fn followed(gate: &Arc<Gate>, refuses_future: bool) -> (Server, Receiver<String>) {
   let server = Arc::new(Mutex::new(Shared {
     revision: at(1, 50),
     content: 40,
-    refuses,
+    refuses_future,
   }));
   let (sender, contents) = channel();
   let (store, gate) = (store(&server), gate.clone());
@@ -108,16 +108,17 @@
   (server, contents)
 }
 
-/// Waits for a content, while `every` goes on.
+/// Waits for a content and calls `every` between checks.
 fn wait_for(contents: &Receiver<String>, content: &str, mut every: impl FnMut()) {
-  let began = Instant::now();
+  let start = Instant::now();
   while contents.recv_timeout(Duration::from_millis(20)).as_deref() != Ok(content) {
-    assert!(began.elapsed() < LONG, "`{content}` was not taken up");
+    assert!(start.elapsed() < TIMEOUT, "`{content}` was not received");
     every();
   }
 }
 
-/// The store comes back from a copy: to a revision below, and then up to another one.
+/// Restores the store from a copy, in the next era: at a revision number, with an object changed at
+/// `content`.
 fn restore(server: &Server, content: u64, number: u64) {
   let mut shared = server.lock().unwrap();
   shared.revision = at(shared.revision.era + 1, number);
@@ -143,7 +144,7 @@
   let gate = Arc::new(Gate::default());
   let (server, contents) = followed(&gate, true);
   wait_for(&contents, "1/40", || {});
-  // Nothing refuses a watch from 50, and nothing after it names the change at 30.
+  // No watch from 50 is refused, and no later change shows the change at 30.
   restore(&server, 30, 90);
   wait_for(&contents, "2/30", || {});
   assert_eq!(gate.progress().revision, at(2, 90));
@@ -175,8 +176,8 @@
   let (server, contents) = followed(&gate, false);
   wait_for(&contents, "1/40", || {});
   restore(&server, 30, 90);
-  let word = progress(at(2, 90), at(2, 30));
-  wait_for(&contents, "2/30", || gate.receive_progress(word));
+  let holder_progress = progress(at(2, 90), at(2, 30));
+  wait_for(&contents, "2/30", || gate.receive_progress(holder_progress));
 }
 
 #[test]
@@ -189,8 +190,8 @@
   let mut shared = server.lock().unwrap();
   (shared.revision, shared.content) = (at(2, 46), 46);
   drop(shared);
-  let word = progress(at(1, 60), at(1, 40));
-  wait_for(&contents, "2/46", || gate.receive_progress(word));
+  let holder_progress = progress(at(1, 60), at(1, 40));
+  wait_for(&contents, "2/46", || gate.receive_progress(holder_progress));
 }
 
 #[test]
@@ -198,7 +199,7 @@
   let gate = Arc::new(Gate::default());
   let (server, contents) = followed(&gate, false);
   wait_for(&contents, "1/40", || {});
-  let word = progress(at(2, 95), at(2, 95));
+  let holder_progress = progress(at(2, 95), at(2, 95));
   let batch = Batch {
     since: Revision::first(2),
     after: at(2, 90),
@@ -211,23 +212,23 @@
     }],
   };
   restore(&server, 30, 95);
-  gate.receive_progress(word);
+  gate.receive_progress(holder_progress);
   gate.receive_batch(batch);
-  let began = Instant::now();
+  let start = Instant::now();
   let first = loop {
-    assert!(began.elapsed() < LONG);
-    gate.receive_progress(word);
+    assert!(start.elapsed() < TIMEOUT);
+    gate.receive_progress(holder_progress);
     if let Ok(first) = contents.recv_timeout(Duration::from_millis(20)) {
       break first;
     }
   };
-  assert_eq!(first, "2/30", "all is read");
+  assert_eq!(first, "2/30", "the full list is read");
 }
 
 quickcheck! {
-  /// A later era is later, whatever its numbers are.
+  /// Revisions are ordered by era first and by number second.
   fn revisions_are_ordered_by_their_eras_first(one: (u32, u32), two: (u32, u32)) -> bool {
-    let of = |(era, number): (u32, u32)| at(era.into(), number.into());
-    of(one).cmp(&of(two)) == one.cmp(&two)
+    let revision = |(era, number): (u32, u32)| at(era.into(), number.into());
+    revision(one).cmp(&revision(two)) == one.cmp(&two)
   }
 }
--- a/tests/explain.rs
+++ b/tests/explain.rs
@@ -1,4 +1,4 @@
-//! From a request's id to its cause, over the logs of several instances.
+//! Explains a request's outcome by its id, from the logs of several instances.
 
 use bendsaddle::explain::{Line, conclusion, lines};
 
@@ -19,11 +19,11 @@
 #[test]
 fn a_request_is_explained_by_its_lines_and_its_models() {
   let found = lines("r1", log());
-  let what: Vec<&str> = found
+  let messages: Vec<&str> = found
     .iter()
     .map(|line| line.fields["msg"].as_str().unwrap())
     .collect();
-  assert_eq!(what, ["orders", "waiting", "planned", "refused"]);
+  assert_eq!(messages, ["orders", "waiting", "planned", "refused"]);
   let text = conclusion("r1", &found);
   assert_eq!(text, "refused after 2500 ms: too-late, verdict not-run");
 }
--- a/tests/feed.rs
+++ b/tests/feed.rs
@@ -1,5 +1,5 @@
-//! One instance watches the store for others: they watch by themselves as soon as
-//! its word is old or names a change that they lack.
+//! The holder watches the store for the other instances. They watch it directly as soon as the
+//! holder's progress is outdated or names a change that they have not received.
 
 use bendsaddle::{
   feed::{Batch, Change, Event, Gate, OUTAGE_THRESHOLD, Progress, follow},
@@ -16,18 +16,18 @@
   time::{Duration, Instant},
 };
 
-/// A store whose revision is a number, and that counts its calls.
+/// State of a store with one object; counts calls.
 #[derive(Default)]
-struct Numbers {
+struct Shared {
   revision: AtomicU64,
   watches: AtomicU64,
   lists: AtomicU64,
-  /// It refuses watches.
-  mute: AtomicBool,
-  /// An answer that brings more changes than these never arrives in time; 0: all do.
-  most: AtomicU64,
-  /// Lists are not answered.
-  unlisted: AtomicBool,
+  /// Whether watches are refused.
+  refuses_watches: AtomicBool,
+  /// A response with more changes than this does not arrive in time; 0 if there is no such limit.
+  max_changes: AtomicU64,
+  /// Whether lists get no response.
+  loses_lists: AtomicBool,
 }
 
 fn object(revision: u64) -> Object {
@@ -38,15 +38,15 @@
   }
 }
 
-fn store(numbers: &Arc<Numbers>) -> Store {
-  let (listed, watched) = (numbers.clone(), numbers.clone());
+fn store(shared: &Arc<Shared>) -> Store {
+  let (list_state, watch_state) = (shared.clone(), shared.clone());
   Store {
     list: Box::new(move |_, _| {
-      listed.lists.fetch_add(1, Ordering::Relaxed);
-      if listed.unlisted.load(Ordering::Relaxed) {
+      list_state.lists.fetch_add(1, Ordering::Relaxed);
+      if list_state.loses_lists.load(Ordering::Relaxed) {
         return Err(Error::NoAnswer);
       }
-      let revision = listed.revision.load(Ordering::Relaxed);
+      let revision = list_state.revision.load(Ordering::Relaxed);
       Ok(Page {
         objects: vec![object(revision)],
         more: false,
@@ -55,15 +55,15 @@
     }),
     watch: Box::new(move |_, from, wait| {
       let from = from.number;
-      watched.watches.fetch_add(1, Ordering::Relaxed);
-      if watched.mute.load(Ordering::Relaxed) {
+      watch_state.watches.fetch_add(1, Ordering::Relaxed);
+      if watch_state.refuses_watches.load(Ordering::Relaxed) {
         return Err(Error::Refused(503));
       }
       let until = Instant::now() + wait;
       loop {
-        let revision = watched.revision.load(Ordering::Relaxed);
-        let most = watched.most.load(Ordering::Relaxed);
-        if most > 0 && revision - from > most {
+        let revision = watch_state.revision.load(Ordering::Relaxed);
+        let max_changes = watch_state.max_changes.load(Ordering::Relaxed);
+        if max_changes > 0 && revision - from > max_changes {
           return Err(Error::NoAnswer);
         }
         if revision > from || Instant::now() >= until {
@@ -81,10 +81,10 @@
   }
 }
 
-/// Follows the store in a thread; gives the revisions of its news.
-fn spawn(numbers: &Arc<Numbers>, gate: &Arc<Gate>) -> Receiver<u64> {
+/// Follows the store in a thread; returns a channel of the revisions that it reads.
+fn spawn(shared: &Arc<Shared>, gate: &Arc<Gate>) -> Receiver<u64> {
   let (sender, receiver) = channel();
-  follow_events(numbers, gate, move |event| {
+  follow_events(shared, gate, move |event| {
     let revision = match event {
       Event::Listed(objects) => objects[0].revision.number,
       Event::Changed(objects) => objects[0].0.revision.number,
@@ -98,13 +98,13 @@
 
 /// Follows the store in a thread.
 fn follow_events(
-  numbers: &Arc<Numbers>,
+  shared: &Arc<Shared>,
   gate: &Arc<Gate>,
   take: impl FnMut(Event) -> bool + Send + 'static,
 ) {
-  let (store, gate) = (store(numbers), gate.clone());
+  let (store, gate) = (store(shared), gate.clone());
   let log = Logger::root(Discard, o!());
-  // Objects with an odd revision matter to others.
+  // Only objects with an odd revision are relevant to other instances.
   let odd = |object: &Object, _| object.revision.number % 2 == 1;
   thread::spawn(move || follow(&store, "kind", &gate, &log, odd, take));
 }
@@ -117,16 +117,20 @@
   }
 }
 
-const LONG: Duration = Duration::from_secs(20);
-
-/// Speaks for a holder every few milliseconds until `done`; gives the longest
-/// silence, which a busy machine may make long.
-fn keep_following(gate: &Gate, word: Progress, mut done: impl FnMut() -> bool) -> Duration {
-  let began = Instant::now();
-  let (mut last, mut longest) = (began, Duration::ZERO);
+const TIMEOUT: Duration = Duration::from_secs(20);
+
+/// Passes on a holder's progress every 20 ms until `done`; returns the longest interval between two
+/// of them, which may be long on a busy machine.
+fn keep_following(
+  gate: &Gate,
+  holder_progress: Progress,
+  mut done: impl FnMut() -> bool,
+) -> Duration {
+  let start = Instant::now();
+  let (mut last, mut longest) = (start, Duration::ZERO);
   while !done() {
-    assert!(began.elapsed() < LONG, "not in time");
-    gate.receive_progress(word);
+    assert!(start.elapsed() < TIMEOUT, "not in time");
+    gate.receive_progress(holder_progress);
     longest = longest.max(last.elapsed());
     last = Instant::now();
     thread::sleep(Duration::from_millis(20));
@@ -134,96 +138,103 @@
   longest
 }
 
-/// A store at revision 5 that is followed under a holder's word, and its news.
-fn followed() -> (Arc<Numbers>, Arc<Gate>, Receiver<u64>) {
-  let numbers = Arc::new(Numbers::default());
-  numbers.revision.store(5, Ordering::Relaxed);
+/// A store at revision 5, followed by way of a holder's progress, and a channel of its revisions.
+fn followed() -> (Arc<Shared>, Arc<Gate>, Receiver<u64>) {
+  let shared = Arc::new(Shared::default());
+  shared.revision.store(5, Ordering::Relaxed);
   let gate = Arc::new(Gate::default());
   gate.receive_progress(progress(5, 5, 0));
-  let news = spawn(&numbers, &gate);
-  assert_eq!(news.recv_timeout(LONG), Ok(5));
-  // Event is taken up before the gate knows of it.
-  let began = Instant::now();
+  let revisions = spawn(&shared, &gate);
+  assert_eq!(revisions.recv_timeout(TIMEOUT), Ok(5));
+  // An event is processed before the gate's progress shows it.
+  let start = Instant::now();
   while gate.progress().revision.number < 5 {
-    assert!(began.elapsed() < LONG, "not in time");
+    assert!(start.elapsed() < TIMEOUT, "not in time");
     thread::sleep(Duration::from_millis(1));
   }
-  (numbers, gate, news)
+  (shared, gate, revisions)
 }
 
-/// Speaks for a holder until there is news.
-fn heard(gate: &Gate, word: Progress, news: &Receiver<u64>) -> Option<u64> {
-  let mut heard = None;
-  keep_following(gate, word, || {
-    heard = heard.or(news.try_recv().ok());
-    heard.is_some()
+/// Passes on a holder's progress until a revision is received.
+fn wait_for_revision(
+  gate: &Gate,
+  holder_progress: Progress,
+  revisions: &Receiver<u64>,
+) -> Option<u64> {
+  let mut received = None;
+  keep_following(gate, holder_progress, || {
+    received = received.or(revisions.try_recv().ok());
+    received.is_some()
   });
-  heard
+  received
 }
 
 #[test]
 fn a_change_that_the_word_names_is_fetched_and_others_cost_no_call() {
-  let (numbers, gate, news) = followed();
-  // Further changes do not matter: nothing is fetched while the word is fresh.
-  numbers.revision.store(9, Ordering::Relaxed);
-  let mut spoken = 0;
-  let silence = keep_following(&gate, progress(9, 5, 0), || {
-    spoken += 1;
-    spoken > 100
+  let (shared, gate, revisions) = followed();
+  // Further changes are not relevant: nothing is fetched while the holder's progress is recent.
+  shared.revision.store(9, Ordering::Relaxed);
+  let mut sent = 0;
+  let gap = keep_following(&gate, progress(9, 5, 0), || {
+    sent += 1;
+    sent > 100
   });
-  let watches = numbers.watches.load(Ordering::Relaxed);
-  assert!(
-    watches == 0 || silence > Duration::from_secs(1),
-    "{watches}"
+  let watches = shared.watches.load(Ordering::Relaxed);
+  assert!(watches == 0 || gap > Duration::from_secs(1), "{watches}");
+  shared.revision.store(12, Ordering::Relaxed);
+  assert_eq!(
+    wait_for_revision(&gate, progress(12, 12, 0), &revisions),
+    Some(12)
   );
-  numbers.revision.store(12, Ordering::Relaxed);
-  assert_eq!(heard(&gate, progress(12, 12, 0), &news), Some(12));
 }
 
 #[test]
 fn an_old_word_does_not_hide_news() {
-  let (numbers, gate, news) = followed();
-  // The holder speaks on, but the store has not answered it for long.
-  numbers.revision.store(7, Ordering::Relaxed);
-  assert_eq!(heard(&gate, progress(5, 5, 1_400), &news), Some(7));
+  let (shared, gate, revisions) = followed();
+  // The holder still sends its progress, but has had no response of the store for 1.4 s.
+  shared.revision.store(7, Ordering::Relaxed);
+  assert_eq!(
+    wait_for_revision(&gate, progress(5, 5, 1_400), &revisions),
+    Some(7)
+  );
 }
 
 #[test]
 fn who_leads_reads_all_that_it_passed_over() {
-  let (numbers, gate, news) = followed();
-  numbers.revision.store(9, Ordering::Relaxed);
+  let (shared, gate, revisions) = followed();
+  shared.revision.store(9, Ordering::Relaxed);
   gate.receive_progress(progress(9, 5, 0));
   gate.set_leading(true);
-  assert_eq!(news.recv_timeout(LONG), Ok(9));
-  assert_eq!(numbers.lists.load(Ordering::Relaxed), 2);
+  assert_eq!(revisions.recv_timeout(TIMEOUT), Ok(9));
+  assert_eq!(shared.lists.load(Ordering::Relaxed), 2);
 }
 
 #[test]
 fn who_goes_by_a_word_learns_how_long_the_store_was_silent() {
-  let numbers = Arc::new(Numbers::default());
-  numbers.revision.store(5, Ordering::Relaxed);
+  let shared = Arc::new(Shared::default());
+  shared.revision.store(5, Ordering::Relaxed);
   let gate = Arc::new(Gate::default());
-  let (sender, silences) = channel();
-  let asked = Instant::now();
+  let (sender, outages) = channel();
+  let start = Instant::now();
   gate.receive_progress(progress(5, 5, 0));
-  follow_events(&numbers, &gate, move |event| {
-    if let Event::Reachable(silence) = event {
-      let _ = sender.send(silence.length);
+  follow_events(&shared, &gate, move |event| {
+    if let Event::Reachable(outage) = event {
+      let _ = sender.send(outage.length);
     }
     true
   });
-  // The store answers neither the holder nor this instance.
-  numbers.mute.store(true, Ordering::Relaxed);
+  // The store responds neither to the holder nor to this instance.
+  shared.refuses_watches.store(true, Ordering::Relaxed);
   thread::sleep(OUTAGE_THRESHOLD + Duration::from_millis(500));
-  numbers.mute.store(false, Ordering::Relaxed);
-  let silence = silences.recv_timeout(LONG).unwrap();
+  shared.refuses_watches.store(false, Ordering::Relaxed);
+  let outage = outages.recv_timeout(TIMEOUT).unwrap();
   assert!(
-    silence >= OUTAGE_THRESHOLD && silence <= asked.elapsed(),
-    "{silence:?}"
+    outage >= OUTAGE_THRESHOLD && outage <= start.elapsed(),
+    "{outage:?}"
   );
 }
 
-/// What a holder read: object `one` at a revision, after the change at `since`.
+/// A batch that a holder read: object `one` at a revision, after the change at `since`.
 fn batch(since: u64, revision: u64) -> Batch {
   Batch {
     since: since.into(),
@@ -240,89 +251,98 @@
 
 #[test]
 fn changes_that_a_holder_read_cost_no_call() {
-  let (numbers, gate, news) = followed();
-  numbers.revision.store(8, Ordering::Relaxed);
+  let (shared, gate, revisions) = followed();
+  shared.revision.store(8, Ordering::Relaxed);
   gate.receive_batch(batch(5, 8));
-  assert_eq!(heard(&gate, progress(8, 8, 0), &news), Some(8));
-  // Sent twice, or late: it is known.
+  assert_eq!(
+    wait_for_revision(&gate, progress(8, 8, 0), &revisions),
+    Some(8)
+  );
+  // A batch that is sent twice or late is already known.
   gate.receive_batch(batch(5, 8));
   gate.receive_batch(batch(8, 10));
-  numbers.revision.store(10, Ordering::Relaxed);
-  assert_eq!(heard(&gate, progress(10, 10, 0), &news), Some(10));
-  let mut spoken = 0;
-  let silence = keep_following(&gate, progress(10, 10, 0), || {
-    spoken += 1;
-    spoken > 20
-  });
-  let watches = numbers.watches.load(Ordering::Relaxed);
-  assert!(
-    watches == 0 || silence > Duration::from_secs(1),
-    "{watches}"
+  shared.revision.store(10, Ordering::Relaxed);
+  assert_eq!(
+    wait_for_revision(&gate, progress(10, 10, 0), &revisions),
+    Some(10)
   );
-  assert!(news.try_recv().is_err());
+  let mut sent = 0;
+  let gap = keep_following(&gate, progress(10, 10, 0), || {
+    sent += 1;
+    sent > 20
+  });
+  let watches = shared.watches.load(Ordering::Relaxed);
+  assert!(watches == 0 || gap > Duration::from_secs(1), "{watches}");
+  assert!(revisions.try_recv().is_err());
 }
 
 #[test]
 fn a_batch_after_a_lost_one_is_not_taken_and_the_store_is_asked() {
-  let (numbers, gate, news) = followed();
-  numbers.revision.store(12, Ordering::Relaxed);
-  // The one up to 8 was lost.
+  let (shared, gate, revisions) = followed();
+  shared.revision.store(12, Ordering::Relaxed);
+  // The batch up to 8 was lost.
   gate.receive_batch(batch(8, 11));
-  assert_eq!(heard(&gate, progress(11, 11, 0), &news), Some(12));
-  assert!(numbers.watches.load(Ordering::Relaxed) > 0);
+  assert_eq!(
+    wait_for_revision(&gate, progress(11, 11, 0), &revisions),
+    Some(12)
+  );
+  assert!(shared.watches.load(Ordering::Relaxed) > 0);
 }
 
 #[test]
 fn a_batch_that_is_not_understood_is_passed_over() {
-  let (numbers, gate, news) = followed();
-  numbers.revision.store(8, Ordering::Relaxed);
+  let (shared, gate, revisions) = followed();
+  shared.revision.store(8, Ordering::Relaxed);
   let mut broken = batch(5, 8);
   broken.changes[0].spec = "{".into();
   gate.receive_batch(broken);
-  assert_eq!(heard(&gate, progress(8, 8, 0), &news), Some(8));
-  assert!(numbers.watches.load(Ordering::Relaxed) > 0);
+  assert_eq!(
+    wait_for_revision(&gate, progress(8, 8, 0), &revisions),
+    Some(8)
+  );
+  assert!(shared.watches.load(Ordering::Relaxed) > 0);
 }
 
-/// What a holder publishes next.
+/// Waits for the batches that a holder publishes next.
 fn published(gate: &Gate) -> Vec<Batch> {
-  let began = Instant::now();
+  let start = Instant::now();
   loop {
     let published = gate.take_published();
     if !published.is_empty() {
       return published;
     }
-    assert!(began.elapsed() < LONG, "not in time");
+    assert!(start.elapsed() < TIMEOUT, "not in time");
     thread::sleep(Duration::from_millis(1));
   }
 }
 
 #[test]
 fn a_holder_publishes_what_it_reads_and_takes_nobody_elses() {
-  let (numbers, gate, news) = followed();
+  let (shared, gate, revisions) = followed();
   gate.set_leading(true);
   gate.receive_batch(batch(5, 20));
-  numbers.revision.store(7, Ordering::Relaxed);
-  assert_eq!(news.recv_timeout(LONG), Ok(7));
+  shared.revision.store(7, Ordering::Relaxed);
+  assert_eq!(revisions.recv_timeout(TIMEOUT), Ok(7));
   let published = published(&gate);
   assert_eq!(published, [batch(5, 7)]);
 }
 
 #[test]
 fn a_removal_in_a_batch_counts_though_its_object_is_older() {
-  let numbers = Arc::new(Numbers::default());
-  numbers.revision.store(5, Ordering::Relaxed);
+  let shared = Arc::new(Shared::default());
+  shared.revision.store(5, Ordering::Relaxed);
   let gate = Arc::new(Gate::default());
   gate.receive_progress(progress(5, 5, 0));
   let (sender, removals) = channel();
-  follow_events(&numbers, &gate, move |event| {
+  follow_events(&shared, &gate, move |event| {
     if let Event::Changed(objects) = &event {
       let _ = sender.send(objects.clone());
     }
     true
   });
-  let began = Instant::now();
+  let start = Instant::now();
   while gate.progress().revision.number < 5 {
-    assert!(began.elapsed() < LONG, "not in time");
+    assert!(start.elapsed() < TIMEOUT, "not in time");
     thread::sleep(Duration::from_millis(1));
   }
   let mut removal = batch(5, 8);
@@ -330,57 +350,68 @@
   removal.changes[0].removed = true;
   gate.receive_batch(removal);
   gate.receive_progress(progress(8, 8, 0));
-  let objects = removals.recv_timeout(LONG).unwrap();
+  let objects = removals.recv_timeout(TIMEOUT).unwrap();
   assert!(objects[0].1, "{objects:?}");
 }
 
 #[test]
 fn a_batch_of_which_a_part_is_known_is_not_taken() {
-  let (numbers, gate, news) = followed();
-  // Changes at 6 and 8 were read together; this instance has read up to 7 by itself.
-  numbers.revision.store(7, Ordering::Relaxed);
-  assert_eq!(heard(&gate, progress(7, 7, 0), &news), Some(7));
-  numbers.revision.store(9, Ordering::Relaxed);
+  let (shared, gate, revisions) = followed();
+  // The holder read the changes at 6 and 8 together; this instance has read up to 7 directly.
+  shared.revision.store(7, Ordering::Relaxed);
+  assert_eq!(
+    wait_for_revision(&gate, progress(7, 7, 0), &revisions),
+    Some(7)
+  );
+  shared.revision.store(9, Ordering::Relaxed);
   gate.receive_batch(batch(5, 8));
-  assert_eq!(heard(&gate, progress(8, 8, 0), &news), Some(9));
+  assert_eq!(
+    wait_for_revision(&gate, progress(8, 8, 0), &revisions),
+    Some(9)
+  );
 }
 
-// An instance behind a link that lost 15% of its packets was 20.2 s late while the deployment
-// changed every 0.3 s: "call failed", "watch", from revision 197 thirteen times in a row. Each
-// answer had to bring all deployments since that revision, one more each time, and none arrived
-// within its second, until the store had forgotten the revision and all was read: one object.
+// Guards against an instance that stays outdated behind a link that loses 15% of its packets: it
+// was 20.2 s late while the deployment changed every 0.3 s. Its watch from revision 197 failed
+// thirteen times in a row ("call failed", "watch"): each response had to contain all deployments
+// since that revision, one more each time, and none arrived within its second, until the store had
+// compacted the revision and the full list, a single object, was read.
 #[test]
 fn a_watch_whose_answer_does_not_arrive_is_followed_by_a_read_of_all() {
-  let (numbers, _gate, news) = followed();
-  numbers.most.store(3, Ordering::Relaxed);
-  numbers.revision.store(20, Ordering::Relaxed);
-  assert_eq!(news.recv_timeout(LONG), Ok(20));
+  let (shared, _gate, revisions) = followed();
+  shared.max_changes.store(3, Ordering::Relaxed);
+  shared.revision.store(20, Ordering::Relaxed);
+  assert_eq!(revisions.recv_timeout(TIMEOUT), Ok(20));
 }
 
-// An instance that the store does not answer, but that hears the holder, is no worse off for
-// a call that failed: what the holder read is taken while all is still to be read here.
+// An instance that gets no response of the store, but receives the holder's batches, applies them
+// also after a failed call, while its own read of the full list is still pending.
 #[test]
 fn what_a_holder_read_is_taken_while_the_store_does_not_answer() {
-  let (numbers, gate, news) = followed();
-  numbers.most.store(1, Ordering::Relaxed);
-  numbers.unlisted.store(true, Ordering::Relaxed);
-  numbers.revision.store(8, Ordering::Relaxed);
-  let began = Instant::now();
-  while numbers.lists.load(Ordering::Relaxed) < 2 {
-    assert!(began.elapsed() < LONG, "not in time");
+  let (shared, gate, revisions) = followed();
+  shared.max_changes.store(1, Ordering::Relaxed);
+  shared.loses_lists.store(true, Ordering::Relaxed);
+  shared.revision.store(8, Ordering::Relaxed);
+  let start = Instant::now();
+  while shared.lists.load(Ordering::Relaxed) < 2 {
+    assert!(start.elapsed() < TIMEOUT, "not in time");
     thread::sleep(Duration::from_millis(1));
   }
   gate.receive_batch(batch(5, 8));
-  assert_eq!(heard(&gate, progress(8, 8, 0), &news), Some(8));
+  assert_eq!(
+    wait_for_revision(&gate, progress(8, 8, 0), &revisions),
+    Some(8)
+  );
 }
 
-/// What a holder publishes of one answer of the store that brings changes after revision 5.
-fn published_of(
+/// Returns the batch that a holder publishes for one response of the store with changes after
+/// revision 5.
+fn published_batch(
   changes: Vec<(Object, bool)>,
-  matters: impl Fn(&Object, bool) -> bool + Send + 'static,
+  is_relevant: impl Fn(&Object, bool) -> bool + Send + 'static,
 ) -> Batch {
   let revision = changes.last().expect("a change").0.revision;
-  let answered = AtomicBool::new(false);
+  let responded = AtomicBool::new(false);
   let store = Store {
     list: Box::new(|_, _| {
       Ok(Page {
@@ -390,7 +421,7 @@
       })
     }),
     watch: Box::new(move |_, _, wait| {
-      let first = !answered.swap(true, Ordering::Relaxed);
+      let first = !responded.swap(true, Ordering::Relaxed);
       if !first {
         thread::sleep(wait);
       }
@@ -403,11 +434,11 @@
   let gate = Arc::new(Gate::default());
   gate.set_leading(true);
   let (followed, log) = (gate.clone(), Logger::root(Discard, o!()));
-  thread::spawn(move || follow(&store, "kind", &followed, &log, matters, |_| true));
+  thread::spawn(move || follow(&store, "kind", &followed, &log, is_relevant, |_| true));
   published(&gate).swap_remove(0)
 }
 
-/// Revisions in a batch, and whether each was removed.
+/// Revisions of the changes in a batch, each with whether it is a removal.
 fn revisions(batch: &Batch) -> Vec<(u64, bool)> {
   let changes = batch.changes.iter();
   changes
@@ -415,58 +446,61 @@
     .collect()
 }
 
-// Entries of servers change with each load, a hundred times a second at 256 servers; others
-// need what says where a server is and whether it takes work.
+// Entries of servers change with each load, a hundred times a second at 256 servers; other
+// instances only need a server's address and whether it accepts requests.
 #[test]
 fn a_holder_publishes_of_an_answer_what_others_need() {
   let changes = (6..=8).map(|revision| (object(revision), false));
   let odd = |object: &Object, _| object.revision.number % 2 == 1;
-  let published = published_of(changes.collect(), odd);
+  let published = published_batch(changes.collect(), odd);
   assert_eq!(revisions(&published), [(7, false)]);
   assert_eq!((published.after, published.revision), (5.into(), 8.into()));
 }
 
-// A server's entry was removed and was back with the same answer of the store: the holder took
-// the entry for a known one, its followers were sent the removal alone, and gave the server up.
+// Guards against losing a server whose entry is removed and added again within one response of the
+// store: the holder treated the entry as known and published only the removal, so that its
+// followers dropped the server.
 #[test]
 fn a_holder_publishes_an_entry_that_is_back_with_the_answer_that_removes_it() {
   let changes = vec![(object(6), true), (object(7), false)];
-  // An entry that is known changes nothing for others.
-  let published = published_of(changes, |_, removed| removed);
+  // A known entry is not relevant to other instances.
+  let published = published_batch(changes, |_, removed| removed);
   assert_eq!(revisions(&published), [(6, true), (7, false)]);
 }
 
-// A server entered itself and left within one answer of the store: its followers were sent the
-// entry alone, and sent requests there for as long as the server answered.
+// Guards against keeping a server whose entry is added and removed within one response of the
+// store: the followers received only the entry, and sent requests to the server for as long as it
+// responded.
 #[test]
 fn a_holder_publishes_a_removal_that_comes_with_the_answer_that_brings_the_entry() {
   let changes = vec![(object(6), false), (object(7), true)];
-  // The removal of an entry that is not known changes nothing for others.
-  let published = published_of(changes, |_, removed| !removed);
+  // The removal of an unknown entry is not relevant to other instances.
+  let published = published_batch(changes, |_, removed| !removed);
   assert_eq!(revisions(&published), [(6, false), (7, true)]);
 }
 
-// A follower had read by itself that a server's entry was removed. The holder's list came after
-// the entry was back and held nothing new for the holder: the follower passed the return over.
+// Guards against a follower that misses an entry that is added again. The follower had read the
+// removal directly; the holder read the list after the entry was back, which was no change for the
+// holder, so the follower did not read it.
 #[test]
 fn what_a_holder_reads_whole_others_read_for_themselves() {
-  let numbers = Arc::new(Numbers::default());
-  numbers.revision.store(5, Ordering::Relaxed);
+  let shared = Arc::new(Shared::default());
+  shared.revision.store(5, Ordering::Relaxed);
   let gate = Arc::new(Gate::default());
   gate.set_leading(true);
-  follow_events(&numbers, &gate, |_| false);
+  follow_events(&shared, &gate, |_| false);
   wait_for("the first list", || gate.progress().revision.number == 5);
-  // No watch arrives any more, so all is read.
-  numbers.most.store(1, Ordering::Relaxed);
-  numbers.revision.store(8, Ordering::Relaxed);
+  // No response to a watch arrives any more, so the full list is read.
+  shared.max_changes.store(1, Ordering::Relaxed);
+  shared.revision.store(8, Ordering::Relaxed);
   wait_for("the second list", || gate.progress().revision.number == 8);
   assert_eq!(gate.progress().changed.number, 8);
 }
 
-fn wait_for(what: &str, mut holds: impl FnMut() -> bool) {
-  let began = Instant::now();
+fn wait_for(condition: &str, mut holds: impl FnMut() -> bool) {
+  let start = Instant::now();
   while !holds() {
-    assert!(began.elapsed() < LONG, "{what}");
+    assert!(start.elapsed() < TIMEOUT, "{condition}");
     thread::sleep(Duration::from_millis(5));
   }
 }
--- a/tests/fleet_limit/mod.rs
+++ b/tests/fleet_limit/mod.rs
@@ -1,5 +1,6 @@
-//! A fleet of instances before servers that name limits, played in virtual time: the reducers of
-//! all instances, the holder's accounts, and datagrams between them that come late or never.
+//! Simulates in virtual time a fleet of instances in front of servers that announce limits: the
+//! reducers of all instances, the holder's accounts, and datagrams between them that are delayed or
+//! lost.
 
 use bendsaddle::{
   backend::Spec,
@@ -20,106 +21,110 @@
   sync::Arc,
 };
 
-/// Window in which users judge a limit, ms, and what they allow there: one and a half times the
-/// limit and five requests.
+/// Window in which users check a limit, ms, and what they allow in it: one and a half times the
+/// limit plus five requests.
 pub const WINDOW_MS: u64 = 4_000;
 const OVERAGE: f64 = 1.5;
 const SLACK: f64 = 5.0;
-/// From an answer that names a limit to the last request beyond it of that instance, ms.
+/// Time from a response that announces a limit to the last request of that instance that may exceed
+/// it, ms.
 pub const HEARD_MS: u64 = 500;
-/// Time in which a holder that is gone is followed by the next one, ms.
+/// Time from the loss of a holder until the next one takes over, ms.
 const TAKEOVER_MS: u64 = 3_500;
-/// The holder publishes sums this often, and all limits that it knows, ms.
+/// Intervals at which the holder publishes usage sums and all limits that it knows, ms.
 const SUMS_MS: u64 = 500;
 const LISTS_MS: u64 = 2_000;
-/// When what has changed is sent, ms after the change.
+/// Times after a change at which it is sent, ms.
 const SENDS_MS: [u64; 3] = [0, 100, 400];
 
-/// What happens to a fleet.
+/// Load and failures of a simulated fleet.
 #[derive(Clone, Debug)]
 pub struct Story {
   pub seed: u64,
   pub instances: usize,
   pub servers: usize,
-  /// Requests a second of all callers.
+  /// Requests per second of all callers together.
   pub load: f64,
-  /// What the first server names: from when, ms, and how many a second.
+  /// Limits that the first server announces: from which time, ms, and requests per second; `None`
+  /// ends the limit.
   pub named: Vec<(u64, Option<f64>)>,
-  /// The first server starts again then, ms, and names the same.
+  /// Time at which the first server restarts, ms; it then announces the same limit.
   pub restart: Option<u64>,
-  /// Instances that are killed at a time, ms, the holder among them or not; they start again.
+  /// Number of instances that are killed and restart, at which time, ms, and whether the holder is
+  /// killed too.
   pub herd: Option<(usize, u64, bool)>,
-  /// Instances whose datagrams are lost between two times, ms.
+  /// Number of instances whose datagrams are lost, with start and end, ms.
   pub cut: Option<(usize, u64, u64)>,
-  /// Instances that stand still between two times, ms.
+  /// Number of instances that are suspended, with start and end, ms.
   pub frozen: Option<(usize, u64, u64)>,
-  /// Parts of sends that servers decline, and that break off after they began.
+  /// Fractions of sends that servers decline, and that break after they started.
   pub declined: f64,
   pub broken: f64,
   pub loss: f64,
   pub length_ms: u64,
 }
 
-/// What came of it.
+/// Results of a simulation.
 #[derive(Debug, Default)]
 pub struct Outcome {
-  /// The most that a window held of what instances sent that had heard the limit, beyond what is
-  /// allowed there; negative: less.
+  /// By how much the fullest window exceeds what is allowed in it, counting requests of instances
+  /// that know the limit; negative if it is below.
   pub beyond: f64,
-  /// Requests that the first server got while it named a limit, and what that allowed.
+  /// Number of requests that the first server received while it announced a limit, and the number
+  /// that the limit allowed.
   pub got: usize,
   pub allowed: f64,
   pub served: usize,
   pub refused: usize,
-  /// The longest that a request waited that was refused for want of room, and sent nowhere, ms.
+  /// Longest wait of a request that was refused because of a limit without being sent, ms.
   pub slowest_refusal_ms: u64,
-  /// Requests that the first server got in the last second.
+  /// Number of requests that the first server received in the last second.
   pub at_last: usize,
   pub messages: usize,
 }
 
 #[derive(Clone, Debug)]
-enum Mail {
+enum Message {
   Uses(usize, u64, u64, Vec<Use>, Vec<Statement>),
   Grants(usize, u64, u64, Vec<Grant>),
   Limits(usize, Vec<Statement>),
   Sums(usize, Sums),
-  /// A request reaches a server; its answer's head comes; its end.
+  /// A request reaches a server; its response head arrives; its attempt ends.
   Reaches(usize, u64, Attempt),
-  Named(usize, u64, Ticket, Option<f64>),
+  LimitAnnounced(usize, u64, Ticket, Option<f64>),
   Ended(usize, u64, Ticket, End),
-  Look(usize, u64, Ticket),
+  Recheck(usize, u64, Ticket),
 }
 
 struct Instance {
   state: State,
   process: u64,
   report_at: u64,
-  /// What it heard that is to be reported, with the times, ms.
+  /// Servers whose statements are to be reported, with the times, ms.
   due: Vec<(Life, u64)>,
-  /// When it first passed an answer on that named a limit, ms.
-  told: Option<u64>,
+  /// Time of the first response that announced a limit to this instance, ms.
+  informed_at: Option<u64>,
 }
 
 struct Fleet<'a> {
   story: &'a Story,
   rng: SmallRng,
   instances: Vec<Instance>,
-  /// The holder, and before when no holder answers, ms.
+  /// Index of the holder, and the time before which no holder responds, ms.
   holder: usize,
   holder_at: u64,
   accounts: Accounts,
   sums: (u64, Sums),
-  mail: BinaryHeap<Reverse<(u64, u64, usize)>>,
-  posted: BTreeMap<usize, Mail>,
+  queue: BinaryHeap<Reverse<(u64, u64, usize)>>,
+  messages: BTreeMap<usize, Message>,
   number: usize,
   tickets: u64,
   arrived: BTreeMap<u64, u64>,
-  /// Requests that were sent somewhere.
+  /// Tickets of requests that were sent to any server.
   sent: BTreeSet<u64>,
   lives: u64,
-  /// Requests at the first server of instances that had heard its limit, and all.
-  counted: Vec<u64>,
+  /// Times of requests at the first server, ms: those of instances that know its limit, and all.
+  informed_requests: Vec<u64>,
   got: Vec<u64>,
   outcome: Outcome,
 }
@@ -155,22 +160,22 @@
   })
 }
 
-fn within(span: Option<(usize, u64, u64)>, instance: usize, now: u64) -> bool {
+fn is_affected(span: Option<(usize, u64, u64)>, instance: usize, now: u64) -> bool {
   span.is_some_and(|(count, from, to)| instance < count && (from..to).contains(&now))
 }
 
-/// What is left of a datagram that waited while its reader stood still.
-fn overtaken(mail: Mail) -> Mail {
-  match mail {
-    Mail::Limits(index, mut statements) => {
+/// Drops what does not count from a datagram that waited while its reader was suspended.
+fn drop_outdated(message: Message) -> Message {
+  match message {
+    Message::Limits(index, mut statements) => {
       statements.retain(Statement::applies_when_late);
-      Mail::Limits(index, statements)
+      Message::Limits(index, statements)
     }
     other => other,
   }
 }
 
-/// Plays a story.
+/// Simulates a scenario.
 pub fn play(story: &Story) -> Outcome {
   let mut fleet = Fleet {
     rng: SmallRng::seed_from_u64(story.seed),
@@ -179,14 +184,14 @@
     holder_at: 0,
     accounts: Accounts::default(),
     sums: (0, Sums::new()),
-    mail: BinaryHeap::new(),
-    posted: BTreeMap::new(),
+    queue: BinaryHeap::new(),
+    messages: BTreeMap::new(),
     number: 0,
     tickets: 0,
     arrived: BTreeMap::new(),
     sent: BTreeSet::new(),
     lives: 1,
-    counted: Vec::new(),
+    informed_requests: Vec::new(),
     got: Vec::new(),
     outcome: Outcome {
       beyond: f64::NEG_INFINITY,
@@ -221,9 +226,9 @@
       process: self.rng.random(),
       report_at: now + self.rng.random_range(0..500),
       due: Vec::new(),
-      told: None,
+      informed_at: None,
     };
-    self.count(now, &mut instance);
+    self.update_instance_count(now, &mut instance);
     instance
   }
 
@@ -232,8 +237,8 @@
     [life(0, self.lives)].into_iter().chain(others).collect()
   }
 
-  /// It hears of a holder how many instances there are.
-  fn count(&self, now: u64, instance: &mut Instance) {
+  /// Informs an instance of the number of instances, as the holder does.
+  fn update_instance_count(&self, now: u64, instance: &mut Instance) {
     let updated = Event::Updated {
       holdings: Vec::new(),
       group: None,
@@ -243,40 +248,40 @@
     instance.state.reduce(now, updated);
   }
 
-  fn deaf(&self, now: u64, index: usize) -> bool {
-    within(self.story.cut, index, now)
+  fn is_partitioned(&self, now: u64, index: usize) -> bool {
+    is_affected(self.story.cut, index, now)
   }
 
   fn frozen(&self, now: u64, index: usize) -> bool {
-    within(self.story.frozen, index, now)
+    is_affected(self.story.frozen, index, now)
   }
 
-  fn post(&mut self, at: u64, mail: Mail) {
+  fn post(&mut self, at: u64, message: Message) {
     self.number += 1;
-    self.posted.insert(self.number, mail);
+    self.messages.insert(self.number, message);
     self
-      .mail
+      .queue
       .push(Reverse((at, self.number as u64, self.number)));
   }
 
-  /// A datagram between an instance and the holder, or the other way.
-  fn datagram(&mut self, now: u64, index: usize, mail: Mail) {
+  /// Sends a datagram between an instance and the holder, in either direction.
+  fn datagram(&mut self, now: u64, index: usize, message: Message) {
     self.outcome.messages += 1;
-    let cut = self.deaf(now, index) || self.deaf(now, self.holder);
+    let cut = self.is_partitioned(now, index) || self.is_partitioned(now, self.holder);
     if !cut && !self.rng.random_bool(self.story.loss) {
       let at = now + self.rng.random_range(1..8);
-      self.post(at, mail);
+      self.post(at, message);
     }
   }
 
   fn step(&mut self, now: u64) {
-    self.strike(now);
-    while let Some(Reverse((at, ..))) = self.mail.peek()
+    self.apply_failures(now);
+    while let Some(Reverse((at, ..))) = self.queue.peek()
       && *at <= now
     {
-      let Reverse((.., number)) = self.mail.pop().unwrap();
-      let mail = self.posted.remove(&number).unwrap();
-      self.deliver(now, mail);
+      let Reverse((.., number)) = self.queue.pop().unwrap();
+      let message = self.messages.remove(&number).unwrap();
+      self.deliver(now, message);
     }
     self.arrive(now);
     self.publish(now);
@@ -287,13 +292,13 @@
     }
   }
 
-  fn strike(&mut self, now: u64) {
+  fn apply_failures(&mut self, now: u64) {
     if self.story.restart == Some(now) {
       self.lives += 1;
       for index in 0..self.instances.len() {
         let change = Event::Servers(vec![Change::Set(life(0, self.lives))]);
         self.apply(now, index, change);
-        self.instances[index].told = None;
+        self.instances[index].informed_at = None;
       }
       self.close_window();
     }
@@ -311,9 +316,9 @@
     if let Some((count, _, until)) = self.story.frozen
       && now == until
     {
-      // One that stood still has to be told anew before its requests count.
+      // After a suspension an instance must receive the limit again before its requests count.
       for instance in &mut self.instances[..count] {
-        instance.told = None;
+        instance.informed_at = None;
       }
     }
     if self.holder_at == now && now > 0 {
@@ -331,10 +336,10 @@
         Effect::Send(attempt) => {
           let at = now + self.rng.random_range(1..6);
           self.sent.insert(attempt.ticket.0);
-          self.post(at, Mail::Reaches(index, process, attempt));
+          self.post(at, Message::Reaches(index, process, attempt));
         }
         Effect::Wait(ticket, until) => {
-          self.post(until.max(now + 1), Mail::Look(index, process, ticket));
+          self.post(until.max(now + 1), Message::Recheck(index, process, ticket));
         }
         Effect::Refuse(ticket, refusal) => self.refused(now, ticket, &refusal),
         Effect::RequestQuota | Effect::LimitChanged { .. } => self.instances[index].report_at = now,
@@ -358,51 +363,51 @@
     }
   }
 
-  fn deliver(&mut self, now: u64, mail: Mail) {
-    let to = match &mail {
-      Mail::Uses(..) | Mail::Reaches(..) => None,
-      Mail::Grants(index, ..)
-      | Mail::Limits(index, ..)
-      | Mail::Sums(index, ..)
-      | Mail::Named(index, ..)
-      | Mail::Ended(index, ..)
-      | Mail::Look(index, ..) => Some(*index),
+  fn deliver(&mut self, now: u64, message: Message) {
+    let to = match &message {
+      Message::Uses(..) | Message::Reaches(..) => None,
+      Message::Grants(index, ..)
+      | Message::Limits(index, ..)
+      | Message::Sums(index, ..)
+      | Message::LimitAnnounced(index, ..)
+      | Message::Ended(index, ..)
+      | Message::Recheck(index, ..) => Some(*index),
     };
     if let Some(index) = to
       && self.frozen(now, index)
     {
-      // What comes while it stands still is read when it goes on.
+      // A suspended instance reads messages when it resumes.
       let (_, _, until) = self.story.frozen.unwrap();
-      return self.post(until, overtaken(mail));
+      return self.post(until, drop_outdated(message));
     }
-    match mail {
-      Mail::Uses(index, process, sent, uses, limits) => {
-        self.hear_uses(now, index, (process, sent), &uses, limits);
+    match message {
+      Message::Uses(index, process, sent, uses, limits) => {
+        self.receive_uses(now, index, (process, sent), &uses, limits);
       }
-      Mail::Grants(index, process, sent, grants) => {
+      Message::Grants(index, process, sent, grants) => {
         if self.instances[index].process == process {
           self.apply(now, index, Event::Granted { sent, grants });
         }
       }
-      Mail::Limits(index, limits) => self.apply(now, index, Event::Statements(limits)),
-      Mail::Sums(index, sums) => self.apply(now, index, Event::QuotaUsage(sums)),
-      Mail::Reaches(index, process, attempt) => self.reaches(now, index, process, attempt),
-      Mail::Named(index, process, ticket, rate) => {
+      Message::Limits(index, limits) => self.apply(now, index, Event::Statements(limits)),
+      Message::Sums(index, sums) => self.apply(now, index, Event::QuotaUsage(sums)),
+      Message::Reaches(index, process, attempt) => self.reaches(now, index, process, attempt),
+      Message::LimitAnnounced(index, process, ticket, rate) => {
         let alive = self.instances[index].process == process;
         if alive {
           if rate.is_some() {
-            self.instances[index].told.get_or_insert(now);
+            self.instances[index].informed_at.get_or_insert(now);
           }
           self.apply(now, index, Event::LimitAnnounced { ticket, rate });
         }
       }
-      Mail::Ended(index, process, ticket, end) => {
+      Message::Ended(index, process, ticket, end) => {
         if self.instances[index].process == process {
           self.outcome.served += usize::from(end == End::Whole);
           self.apply(now, index, Event::Ended { ticket, end });
         }
       }
-      Mail::Look(index, process, ticket) => {
+      Message::Recheck(index, process, ticket) => {
         if self.instances[index].process == process {
           self.apply(now, index, Event::Recheck(ticket));
         }
@@ -410,7 +415,7 @@
     }
   }
 
-  fn hear_uses(
+  fn receive_uses(
     &mut self,
     now: u64,
     index: usize,
@@ -425,11 +430,11 @@
     let state = &self.instances[self.holder].state;
     let allow = |id| state.limits().allowance(id);
     let grants = self.accounts.report(now, process, uses, allow);
-    self.datagram(now, index, Mail::Grants(index, process, sent, grants));
+    self.datagram(now, index, Message::Grants(index, process, sent, grants));
   }
 
-  /// What the first server names at a time; none: nothing.
-  fn named(&self, now: u64) -> Option<f64> {
+  /// Limit that the first server announces at a time; `None` if it announces none.
+  fn announced_rate(&self, now: u64) -> Option<f64> {
     let mut named = self.story.named.iter();
     let last = named.rfind(|(at, _)| *at <= now);
     last.and_then(|(_, rate)| *rate)
@@ -440,30 +445,34 @@
       return;
     }
     let first = attempt.id == "s0";
-    let rate = if first { self.named(now) } else { None };
+    let rate = if first {
+      self.announced_rate(now)
+    } else {
+      None
+    };
     if first {
       self.got.push(now);
       if rate.is_some() {
         self.outcome.got += 1;
       }
-      let told = self.instances[index].told;
-      if rate.is_some() && told.is_some_and(|told| now >= told + HEARD_MS) {
-        self.counted.push(now);
+      let informed_at = self.instances[index].informed_at;
+      if rate.is_some() && informed_at.is_some_and(|informed_at| now >= informed_at + HEARD_MS) {
+        self.informed_requests.push(now);
       }
     }
     let head = now + self.rng.random_range(5..60);
     let ticket = attempt.ticket;
     if rate.is_some() || attempt.limited {
-      self.post(head, Mail::Named(index, process, ticket, rate));
+      self.post(head, Message::LimitAnnounced(index, process, ticket, rate));
     }
-    let drawn: f64 = self.rng.random();
+    let sample: f64 = self.rng.random();
     let end = match () {
-      () if drawn < self.story.declined => End::Full,
-      () if drawn < self.story.declined + self.story.broken => End::Broken,
+      () if sample < self.story.declined => End::Full,
+      () if sample < self.story.declined + self.story.broken => End::Broken,
       () => End::Whole,
     };
     let at = head + self.rng.random_range(1..200);
-    self.post(at, Mail::Ended(index, process, ticket, end));
+    self.post(at, Message::Ended(index, process, ticket, end));
   }
 
   fn arrive(&mut self, now: u64) {
@@ -476,7 +485,7 @@
       }
       self.tickets += 1;
       self.arrived.insert(self.tickets, now);
-      let ask = Descriptor {
+      let descriptor = Descriptor {
         ticket: Ticket(self.tickets),
         id: self.tickets.to_string(),
         route: route(),
@@ -487,11 +496,11 @@
         content: Default::default(),
         caller: None,
       };
-      self.apply(now, index, Event::Arrived(ask));
+      self.apply(now, index, Event::Arrived(descriptor));
     }
   }
 
-  /// The holder publishes sums, limits that changed, and now and then all limits.
+  /// Publishes from the holder usage sums, changed limits, and periodically all limits.
   fn publish(&mut self, now: u64) {
     let holder = self.holder;
     if now < self.holder_at || self.frozen(now, holder) {
@@ -503,28 +512,28 @@
       self.sums = (now, self.accounts.sums(now, allow));
       if !self.sums.1.is_empty() {
         let sums = self.sums.1.clone();
-        self.spread(now, |index| Mail::Sums(index, sums.clone()));
+        self.broadcast(now, |index| Message::Sums(index, sums.clone()));
         self.apply(now, holder, Event::QuotaUsage(self.sums.1.clone()));
       }
     }
     let limits = match now.is_multiple_of(LISTS_MS) {
       true => self.instances[holder].state.limits().statements(now),
-      false => self.due(now, holder),
+      false => self.take_due(now, holder),
     };
     if !limits.is_empty() {
-      self.spread(now, |index| Mail::Limits(index, limits.clone()));
+      self.broadcast(now, |index| Message::Limits(index, limits.clone()));
     }
   }
 
-  fn spread(&mut self, now: u64, mail: impl Fn(usize) -> Mail) {
+  fn broadcast(&mut self, now: u64, message: impl Fn(usize) -> Message) {
     let holder = self.holder;
     for index in (0..self.instances.len()).filter(|index| *index != holder) {
-      self.datagram(now, index, mail(index));
+      self.datagram(now, index, message(index));
     }
   }
 
-  /// What is due of what an instance heard.
-  fn due(&mut self, now: u64, index: usize) -> Vec<Statement> {
+  /// Removes and returns the statements that are due at an instance.
+  fn take_due(&mut self, now: u64, index: usize) -> Vec<Statement> {
     let instance = &mut self.instances[index];
     let due = instance.due.iter().filter(|(_, at)| *at <= now);
     let due: Vec<Life> = due.map(|(server, _)| *server).collect();
@@ -538,16 +547,16 @@
 
   fn report(&mut self, now: u64, index: usize) {
     let instance = &mut self.instances[index];
-    let said = instance.due.iter().any(|(_, at)| *at <= now);
+    let statement_due = instance.due.iter().any(|(_, at)| *at <= now);
     let due = now >= instance.report_at && instance.state.limits().any();
-    if !due && !said {
+    if !due && !statement_due {
       return;
     }
-    let ask_at = instance.state.quotas().next_request_at();
+    let next_request_at = instance.state.quotas().next_request_at();
     let uses = instance.state.uses(now);
     let needed = uses.iter().any(|one| one.need > 0);
-    if needed && now < ask_at && !said {
-      instance.report_at = ask_at;
+    if needed && now < next_request_at && !statement_due {
+      instance.report_at = next_request_at;
       return;
     }
     let pause = (self.story.instances as u64 * 3).clamp(500, 1_000);
@@ -565,23 +574,23 @@
       let grants = self.accounts.report(now, process, &uses, allow);
       return self.apply(now, index, Event::Granted { sent: now, grants });
     }
-    let mut limits = self.due(now, index);
+    let mut limits = self.take_due(now, index);
     let state = &self.instances[index].state;
     let needed = uses.iter().filter(|one| one.need > 0);
     limits.extend(needed.filter_map(|one| state.limits().statement_by_id(one.id, now)));
-    let mail = Mail::Uses(index, process, now, uses, limits);
-    self.datagram(now, index, mail);
+    let message = Message::Uses(index, process, now, uses, limits);
+    self.datagram(now, index, message);
   }
 
-  /// Takes up the fullest window so far; the next one is of another life.
+  /// Records the fullest window so far; later windows belong to another life of the server.
   fn close_window(&mut self) {
-    let counted = std::mem::take(&mut self.counted);
+    let informed_requests = std::mem::take(&mut self.informed_requests);
     let rates = self.story.named.iter().filter_map(|(_, rate)| *rate);
     let most_rate = rates.fold(0.0, f64::max);
     let allowed = most_rate * WINDOW_MS as f64 / 1_000.0 * OVERAGE + SLACK;
     let mut first = 0;
-    for (last, at) in counted.iter().enumerate() {
-      while counted[first] + WINDOW_MS <= *at {
+    for (last, at) in informed_requests.iter().enumerate() {
+      while informed_requests[first] + WINDOW_MS <= *at {
         first += 1;
       }
       let beyond = (last + 1 - first) as f64 - allowed;
@@ -592,7 +601,9 @@
   fn finish(mut self) -> Outcome {
     self.close_window();
     let named = self.story.named.first().map_or(0, |(at, _)| *at);
-    let rate = self.named(self.story.length_ms).unwrap_or_default();
+    let rate = self
+      .announced_rate(self.story.length_ms)
+      .unwrap_or_default();
     self.outcome.allowed = rate * (self.story.length_ms - named) as f64 / 1_000.0;
     let last = self.story.length_ms - 1_000;
     self.outcome.at_last = self.got.iter().filter(|at| **at >= last).count();
--- a/tests/fleet_quota/mod.rs
+++ b/tests/fleet_quota/mod.rs
@@ -1,4 +1,4 @@
-//! A fleet of instances that keep customers' quotas together, played in virtual time.
+//! Simulates in virtual time a fleet of instances that enforce customers' quotas together.
 
 use bendsaddle::{
   customer::{Customer, Digest, Directory, Unit},
@@ -7,62 +7,62 @@
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use std::collections::HashMap;
 
-/// Bounds of the users' deployment.
+/// Quota bounds of the users' deployment.
 pub const BOUND: Bound = Bound {
   window_ms: 8_000,
   overage: 0.1,
   slack: 17_000.0,
 };
 const REPORT_MS: u64 = 500;
-/// Tokens of a request, least and most.
+/// Range of the tokens of a request.
 const COST: std::ops::Range<u32> = 300..1_900;
-/// Time in which a holder that is gone is followed by the next one, ms.
+/// Time from the loss of a holder until the next one takes over, ms.
 const TAKEOVER_MS: u64 = 3_500;
 
-/// How requests that no grant covers are decided.
+/// How requests that no grant covers are handled.
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub enum Way {
-  /// An equal share for each instance; nobody is asked.
+pub enum Strategy {
+  /// Each instance has an equal share and requests nothing.
   Equal,
-  /// Shares by recent use alone; nobody is asked for more.
+  /// Shares depend on recent usage only, and no more is requested.
   Leases,
-  /// Shares by recent use, and the holder is asked for what lacks.
-  Asked,
+  /// Shares depend on recent usage, and missing units are requested from the holder.
+  Requested,
 }
 
-/// What happens to a fleet.
+/// Load and failures of a simulated fleet.
 #[derive(Clone, Debug)]
-pub struct Story {
+pub struct Scenario {
   pub seed: u64,
   pub instances: usize,
-  /// Tokens a second that each customer uses, on the average.
+  /// Average tokens per second of each customer.
   pub usual: Vec<f64>,
-  /// A customer, how many times its usual it sends, from and to, ms.
-  pub hot: Option<(usize, f64, u64, u64)>,
-  /// All requests of a customer go to one instance from then on, ms.
-  pub moves: Option<(usize, u64)>,
-  /// Part of the instances that are killed at a time, ms; the holder among them or not.
-  pub herd: Option<(f64, u64, bool)>,
-  /// Instances whose messages are lost between two times, ms.
-  pub cut: Option<(usize, u64, u64)>,
-  /// Instances that stand still between two times, ms.
-  pub frozen: Option<(usize, u64, u64)>,
+  /// A customer with raised usage: index, factor, start and end, ms.
+  pub hot_customer: Option<(usize, f64, u64, u64)>,
+  /// A customer whose requests all go to one instance from a time on: index, time, ms.
+  pub pinned_customer: Option<(usize, u64)>,
+  /// Fraction of the instances that are killed, at which time, ms, and whether the holder is too.
+  pub kill: Option<(f64, u64, bool)>,
+  /// Number of instances whose messages are lost, with start and end, ms.
+  pub partitioned: Option<(usize, u64, u64)>,
+  /// Number of instances that are suspended, with start and end, ms.
+  pub suspended: Option<(usize, u64, u64)>,
   pub loss: f64,
   pub length_ms: u64,
 }
 
-/// What came of it.
+/// Results of a simulation.
 #[derive(Default)]
 pub struct Outcome {
-  /// The most that a window held of a customer, as a part of what it may.
+  /// Highest usage of a customer in any window, as a fraction of what is allowed.
   pub worst: f64,
-  /// Requests within their customer's quota, and those of them that were refused.
+  /// Number of requests within their customer's quota, and how many of those were refused.
   pub within: usize,
   pub refused: usize,
   pub messages: usize,
 }
 
-enum Mail {
+enum Message {
   Uses(usize, u64, u64, Vec<Use>),
   Grants(usize, u64, u64, Vec<Grant>),
 }
@@ -70,14 +70,14 @@
 struct Instance {
   purse: Balances,
   process: u64,
-  /// Requests that wait: customer, cost, since.
+  /// Waiting requests: customer, cost, arrival time in ms.
   waiting: Vec<(usize, u32, u64)>,
   report_at: u64,
 }
 
 struct Fleet<'a> {
-  story: &'a Story,
-  way: Way,
+  scenario: &'a Scenario,
+  strategy: Strategy,
   rng: SmallRng,
   book: Directory,
   customers: Vec<(Id, Quota)>,
@@ -85,18 +85,18 @@
   accounts: Accounts,
   /// No holder answers before this time, ms.
   holder_at: u64,
-  mail: Vec<(u64, Mail)>,
-  /// Requests that ran, by customer: when they were sent, and their cost.
+  in_flight: Vec<(u64, Message)>,
+  /// Requests that ran, by customer: time in ms and cost.
   ran: Vec<Vec<(u64, u32)>>,
-  /// All requests, with whether they were refused.
+  /// All requests, by customer: time in ms, cost, and whether they were refused.
   sent: Vec<Vec<(u64, u32, bool)>>,
   messages: usize,
-  /// What the holder published last.
+  /// Usage that the holder published last, with the time, ms.
   sums: (u64, Sums),
 }
 
 fn customer(name: &str, usual: f64) -> (Customer, Quota) {
-  // As the users' sheet: 1.8 times the usual, 4,200 at least.
+  // As in the users' quota sheet: 1.8 times the usual rate, at least 4,200.
   let rate = (usual * 1.8).max(4_200.0);
   let quota = Quota { rate, burst: rate };
   let customer = Customer {
@@ -117,35 +117,37 @@
   })
 }
 
-/// Plays a story.
-pub fn play(story: &Story, way: Way) -> Outcome {
-  let mut rng = SmallRng::seed_from_u64(story.seed);
-  let names = (0..story.usual.len()).map(|number| format!("c{number}"));
+/// Simulates a scenario.
+pub fn simulate(scenario: &Scenario, strategy: Strategy) -> Outcome {
+  let mut rng = SmallRng::seed_from_u64(scenario.seed);
+  let names = (0..scenario.usual.len()).map(|number| format!("c{number}"));
   let all: Vec<(Customer, Quota)> = names
-    .zip(&story.usual)
+    .zip(&scenario.usual)
     .map(|(name, usual)| customer(&name, *usual))
     .collect();
   let ids = all
     .iter()
     .map(|(customer, quota)| (Id::for_customer(&customer.name), *quota));
   let customers = ids.collect();
-  let instances = (0..story.instances).map(|_| instance(&mut rng)).collect();
+  let instances = (0..scenario.instances)
+    .map(|_| instance(&mut rng))
+    .collect();
   let mut fleet = Fleet {
-    story,
-    way,
+    scenario,
+    strategy,
     book: Directory::new(all.into_iter().map(|(customer, _)| customer).collect()).unwrap(),
     customers,
     instances,
     accounts: Accounts::default(),
     sums: (0, Sums::new()),
     holder_at: 0,
-    mail: Vec::new(),
-    ran: vec![Vec::new(); story.usual.len()],
-    sent: vec![Vec::new(); story.usual.len()],
+    in_flight: Vec::new(),
+    ran: vec![Vec::new(); scenario.usual.len()],
+    sent: vec![Vec::new(); scenario.usual.len()],
     messages: 0,
     rng,
   };
-  for now in 1..story.length_ms {
+  for now in 1..scenario.length_ms {
     fleet.step(now);
   }
   fleet.outcome()
@@ -160,7 +162,7 @@
   }
 }
 
-fn within(span: Option<(usize, u64, u64)>, instance: usize, now: u64) -> bool {
+fn is_affected(span: Option<(usize, u64, u64)>, instance: usize, now: u64) -> bool {
   span.is_some_and(|(count, from, to)| instance < count && (from..to).contains(&now))
 }
 
@@ -169,25 +171,26 @@
     if now >= self.holder_at && now.is_multiple_of(REPORT_MS) {
       self.sums = (now, self.accounts.sums(now, |id| allowance(&self.book, id)));
       for index in 0..self.instances.len() {
-        let deaf = within(self.story.cut, index, now) || within(self.story.frozen, index, now);
-        if self.way != Way::Equal && !deaf {
+        let unreachable = is_affected(self.scenario.partitioned, index, now)
+          || is_affected(self.scenario.suspended, index, now);
+        if self.strategy != Strategy::Equal && !unreachable {
           self.instances[index].purse.receive_sums(now, &self.sums.1);
         }
       }
     }
-    self.herd(now);
+    self.kill(now);
     self.deliver(now);
     self.arrive(now);
     for index in 0..self.instances.len() {
-      if !within(self.story.frozen, index, now) {
+      if !is_affected(self.scenario.suspended, index, now) {
         self.retry(now, index);
         self.report(now, index);
       }
     }
   }
 
-  fn herd(&mut self, now: u64) {
-    let Some((part, at, holder)) = self.story.herd else {
+  fn kill(&mut self, now: u64) {
+    let Some((part, at, holder)) = self.scenario.kill else {
       return;
     };
     if now != at {
@@ -196,8 +199,8 @@
     let count = (self.instances.len() as f64 * part) as usize;
     for index in 0..count {
       self.instances[index] = instance(&mut self.rng);
-      if self.way != Way::Equal {
-        // It reads the lease's record when it starts.
+      if self.strategy != Strategy::Equal {
+        // An instance reads the lease's record when it starts.
         self.instances[index].purse.receive_sums(now, &self.sums.1);
       }
     }
@@ -211,30 +214,30 @@
       let sums = Some((self.sums.0, &self.sums.1));
       self.accounts = Accounts::new(now, sums, |id| allowance(&self.book, id));
     }
-    let due: Vec<Mail> = {
-      let (due, later) = std::mem::take(&mut self.mail)
+    let due: Vec<Message> = {
+      let (due, later) = std::mem::take(&mut self.in_flight)
         .into_iter()
         .partition(|(at, _)| *at <= now);
-      self.mail = later;
-      let due: Vec<(u64, Mail)> = due;
-      due.into_iter().map(|(_, mail)| mail).collect()
+      self.in_flight = later;
+      let due: Vec<(u64, Message)> = due;
+      due.into_iter().map(|(_, message)| message).collect()
     };
-    for mail in due {
-      match mail {
-        Mail::Uses(index, process, sent, uses) if now >= self.holder_at => {
+    for message in due {
+      match message {
+        Message::Uses(index, process, sent, uses) if now >= self.holder_at => {
           let grants = self
             .accounts
             .report(now, process, &uses, |id| allowance(&self.book, id));
-          self.post(now, index, Mail::Grants(index, process, sent, grants));
+          self.post(now, index, Message::Grants(index, process, sent, grants));
         }
-        Mail::Uses(..) => {}
-        Mail::Grants(index, process, sent, grants) => {
-          // What comes while it stands still is read when it goes on.
-          if within(self.story.frozen, index, now) {
-            let (_, _, until) = self.story.frozen.unwrap();
+        Message::Uses(..) => {}
+        Message::Grants(index, process, sent, grants) => {
+          // A suspended instance reads messages when it resumes.
+          if is_affected(self.scenario.suspended, index, now) {
+            let (_, _, until) = self.scenario.suspended.unwrap();
             self
-              .mail
-              .push((until, Mail::Grants(index, process, sent, grants)));
+              .in_flight
+              .push((until, Message::Grants(index, process, sent, grants)));
           } else if self.instances[index].process == process {
             self.instances[index]
               .purse
@@ -245,20 +248,21 @@
     }
   }
 
-  fn post(&mut self, now: u64, index: usize, mail: Mail) {
+  fn post(&mut self, now: u64, index: usize, message: Message) {
     self.messages += 1;
-    let lost = self.rng.random_bool(self.story.loss) || within(self.story.cut, index, now);
+    let lost = self.rng.random_bool(self.scenario.loss)
+      || is_affected(self.scenario.partitioned, index, now);
     if !lost {
       let at = now + self.rng.random_range(1..8);
-      self.mail.push((at, mail));
+      self.in_flight.push((at, message));
     }
   }
 
   fn arrive(&mut self, now: u64) {
-    for customer in 0..self.story.usual.len() {
-      let mut rate = self.story.usual[customer];
-      if let Some((hot, times, from, to)) = self.story.hot
-        && hot == customer
+    for customer in 0..self.scenario.usual.len() {
+      let mut rate = self.scenario.usual[customer];
+      if let Some((hot_customer, times, from, to)) = self.scenario.hot_customer
+        && hot_customer == customer
         && (from..to).contains(&now)
       {
         rate *= times;
@@ -274,14 +278,14 @@
 
   fn request(&mut self, now: u64, customer: usize) {
     let moved = |(who, at): (usize, u64)| who == customer && now >= at;
-    let index = match self.story.moves {
-      Some(moves) if moved(moves) => self.instances.len() - 1,
+    let index = match self.scenario.pinned_customer {
+      Some(pinned_customer) if moved(pinned_customer) => self.instances.len() - 1,
       _ => self.rng.random_range(0..self.instances.len()),
     };
     let cost = self.rng.random_range(COST);
     self.sent[customer].push((now, cost, false));
     let number = (self.sent[customer].len() - 1) as u64;
-    if within(self.story.frozen, index, now) {
+    if is_affected(self.scenario.suspended, index, now) {
       self.instances[index].waiting.push((customer, cost, now));
       return;
     }
@@ -297,14 +301,14 @@
     };
     let count = self.instances.len();
     let instance = &mut self.instances[index];
-    let asked = match self.way {
-      Way::Asked => Some(since),
-      // Its patience is over at once.
-      Way::Equal | Way::Leases => Some(0),
+    let requested_at = match self.strategy {
+      Strategy::Requested => Some(since),
+      // As if it had waited since time 0, so it doesn't wait any longer.
+      Strategy::Equal | Strategy::Leases => Some(0),
     };
     match instance
       .purse
-      .acquire(now, (id, &allowance), cost, asked, count)
+      .acquire(now, (id, &allowance), cost, requested_at, count)
     {
       Decision::Granted => self.ran[customer].push((since, cost)),
       Decision::Pending(_) => {
@@ -317,8 +321,8 @@
 
   fn refuse(&mut self, customer: usize, since: u64, cost: u32) {
     let mut sent = self.sent[customer].iter_mut();
-    if let Some(one) = sent.find(|one| one.0 == since && one.1 == cost) {
-      one.2 = true;
+    if let Some(request) = sent.find(|request| request.0 == since && request.1 == cost) {
+      request.2 = true;
     }
   }
 
@@ -331,7 +335,7 @@
 
   fn report(&mut self, now: u64, index: usize) {
     let instance = &mut self.instances[index];
-    if self.way == Way::Equal || now < instance.report_at {
+    if self.strategy == Strategy::Equal || now < instance.report_at {
       return;
     }
     let mut needs: HashMap<Id, u32> = HashMap::new();
@@ -347,7 +351,7 @@
       instance.report_at = instance.purse.next_request_at();
     }
     let process = instance.process;
-    self.post(now, index, Mail::Uses(index, process, now, uses));
+    self.post(now, index, Message::Uses(index, process, now, uses));
   }
 
   fn outcome(mut self) -> Outcome {
@@ -359,8 +363,8 @@
       let allowed = BOUND.window_units(quota) + BOUND.reserve(quota);
       let ran = &mut self.ran[customer];
       ran.sort_unstable();
-      outcome.worst = outcome.worst.max(most(ran) / allowed);
-      let (within, refused) = kept(&self.sent[customer], BOUND.window_units(quota));
+      outcome.worst = outcome.worst.max(max_usage(ran) / allowed);
+      let (within, refused) = count_within_quota(&self.sent[customer], BOUND.window_units(quota));
       outcome.within += within;
       outcome.refused += refused;
     }
@@ -368,23 +372,23 @@
   }
 }
 
-/// The most that a window held.
-fn most(ran: &[(u64, u32)]) -> f64 {
-  let (mut most, mut sum, mut first) = (0.0f64, 0.0, 0);
+/// Highest usage in any window.
+fn max_usage(ran: &[(u64, u32)]) -> f64 {
+  let (mut max_usage, mut sum, mut first) = (0.0f64, 0.0, 0);
   for (at, cost) in ran {
     sum += f64::from(*cost);
     while ran[first].0 + BOUND.window_ms <= *at {
       sum -= f64::from(ran[first].1);
       first += 1;
     }
-    most = most.max(sum);
+    max_usage = max_usage.max(sum);
   }
-  most
+  max_usage
 }
 
-/// Requests that fit into their quota by what was asked before them, and how many of them were
-/// refused.
-fn kept(sent: &[(u64, u32, bool)], allowed: f64) -> (usize, usize) {
+/// Number of requests that fit into the quota together with the requests before them, and how many
+/// of those were refused.
+fn count_within_quota(sent: &[(u64, u32, bool)], allowed: f64) -> (usize, usize) {
   let (mut within, mut refused, mut sum, mut first) = (0, 0, 0.0, 0);
   for (at, cost, was_refused) in sent {
     sum += f64::from(*cost);
--- a/tests/fuzz.rs
+++ b/tests/fuzz.rs
@@ -1,5 +1,5 @@
-//! Every decoder of outside input, given arbitrary bytes: no panic, and what it
-//! takes is what would be written again.
+//! Decoders of external input, run on arbitrary bytes: they don't panic, and an accepted value is
+//! the same after it is encoded and decoded again.
 
 use bendsaddle::{
   apply,
@@ -20,17 +20,17 @@
 };
 use quickcheck::{Arbitrary, Gen, QuickCheck, Testable};
 
-const INPUTS: u64 = 2_000;
+const INPUT_COUNT: u64 = 2_000;
 
 fn check(seed: u64, property: impl Testable) {
   QuickCheck::new()
     .rng(Gen::from_size_and_seed(200, seed))
-    .tests(INPUTS)
-    .min_tests_passed(INPUTS)
+    .tests(INPUT_COUNT)
+    .min_tests_passed(INPUT_COUNT)
     .quickcheck(property);
 }
 
-/// JSON-like text: more likely to reach deep into a decoder than random bytes.
+/// JSON-like text, which gets further into a decoder than random bytes.
 #[derive(Clone, Debug)]
 struct Text(String);
 
@@ -69,7 +69,7 @@
 }
 
 fn state() -> State {
-  let me = Identity {
+  let identity = Identity {
     instance: "entry-0".into(),
     zone: "zone".into(),
     peer_address: "10.0.0.1:1".into(),
@@ -77,17 +77,17 @@
     boot: 1,
     seeds: Vec::new(),
   };
-  State::new(me, Limits::default(), 1, 1)
+  State::new(identity, Limits::default(), 1, 1)
 }
 
 #[test]
 fn facts_and_notices_survive_any_bytes() {
   fn property(bytes: Vec<u8>) -> bool {
     let fact = Fact::decode(&bytes);
-    let again = fact.as_ref().map(Fact::encode);
-    let same = again.is_none_or(|again| Fact::decode(&again) == fact);
+    let encoded = fact.as_ref().map(Fact::encode);
+    let is_same = encoded.is_none_or(|encoded| Fact::decode(&encoded) == fact);
     drop(Notice::decode(&bytes));
-    same
+    is_same
   }
   check(1, property as fn(Vec<u8>) -> bool);
 }
@@ -106,7 +106,7 @@
     };
     let call = Call(1);
     let effects = reduce(&mut state, 10, Event::Exchange { call, delta });
-    // Whatever came, the neighbour gets its answer.
+    // The peer gets a response to any delta.
     effects
       .iter()
       .any(|effect| matches!(effect, bendsaddle::effect::Effect::Answer { .. }))
@@ -187,9 +187,9 @@
       value: Some(text.0),
     };
     reduce(&mut state, 10, Event::ConfigurationRead(vec![object]));
-    let taken = state.facts.version(&Key::Object(name.clone())).0 == version;
+    let accepted = state.facts.version(&Key::Object(name.clone())).0 == version;
     let rejected = state.facts.version(&Key::Rejected(name)).0 == version;
-    taken != rejected
+    accepted != rejected
   }
   check(5, property as fn(Text, u32) -> bool);
 }
@@ -215,7 +215,7 @@
   check(7, property as fn(Vec<Text>) -> bool);
 }
 
-/// Any order of chunks, doubled at will, gives the same tokens.
+/// Any order of chunks, also with duplicates, gives the same tokens.
 #[test]
 fn a_token_stream_in_any_order_gives_each_token_once() {
   fn property(order: Vec<u8>) -> bool {
@@ -235,8 +235,8 @@
   check(8, property as fn(Vec<u8>) -> bool);
 }
 
-/// Whatever is claimed, finished and freed in whatever groups, a key has one
-/// holder until it is freed, and its outcome stays.
+/// For any sequence of claims, completions and releases, a key has one holder until it is released,
+/// and its outcome doesn't change.
 #[test]
 fn a_key_has_one_holder() {
   fn property(steps: Vec<(u8, u8, u8)>) -> bool {
--- a/tests/holder/mod.rs
+++ b/tests/holder/mod.rs
@@ -1,4 +1,4 @@
-//! A holder of the lease and the servers that carry its orders out.
+//! A simulated lease holder, and the servers that execute its orders.
 #![allow(dead_code)]
 
 use bendsaddle::{
@@ -19,30 +19,30 @@
 pub const MEMORY: u64 = 230;
 pub const MODEL: u64 = 70;
 
-/// Servers that carry orders out, with the plan that gives them.
+/// Servers that execute orders, and the plan that sends the orders.
 pub struct World {
   pub plan: Plan,
   pub deployment: Arc<Deployment>,
   pub now: u64,
   pub servers: BTreeMap<String, Server>,
-  /// Models that are waited for, and what runs where.
+  /// Models with their numbers of waiting requests, and running requests by server and model.
   pub waiting: Vec<(String, u32)>,
   pub running: Vec<(String, String, u32)>,
   pub orders: Vec<Command>,
   pub asked: u32,
-  /// Adapters are unloaded only once their requests have ended.
+  /// Whether adapters are in use; such adapters are unloaded only once their requests have ended.
   pub adapters_in_use: bool,
-  /// Models that requests did not find.
+  /// Servers and models that requests did not find there.
   pub missing: Vec<(String, String)>,
-  /// Servers that asked for rest.
+  /// Servers that requested a backoff.
   pub resting: Vec<String>,
-  /// What requests see of the servers that hold their models.
+  /// Load samples of servers, as observed by requests.
   pub strain: Vec<Sample>,
-  /// What becomes of orders from now on, instead of being carried out.
+  /// Result of all further orders, which are then not executed; `None` to execute them.
   pub fate: Option<Taken>,
-  /// Servers whose processes have ended.
+  /// Servers whose processes have terminated.
   pub ended: BTreeSet<String>,
-  /// Servers whose answers are not there yet.
+  /// Servers whose responses have not arrived yet.
   pub unheard: BTreeSet<String>,
 }
 
@@ -139,7 +139,7 @@
     }
   }
 
-  /// The store has entries of these servers, and of no others.
+  /// Lists these servers, and no others, in the store.
   pub fn list(&mut self, ids: &[&str]) {
     let deployment = self.deployment.clone();
     let listed = self.servers.iter_mut();
@@ -186,7 +186,7 @@
     self.plan.receive_report(self.now, address, report);
   }
 
-  /// Lets time pass; orders are carried out, questions answered.
+  /// Advances the time; executes orders and responds to queries.
   pub fn run(&mut self, ms: u64) {
     let end = self.now + ms;
     while self.now < end {
@@ -233,8 +233,8 @@
       (Act::Load, None) => {
         let used = server.held.len() as u64 * MODEL;
         assert!(used + MODEL <= MEMORY, "{} is overcommitted", command.id);
-        let near = server.spec.on_disk.contains(&name);
-        server.busy_until = now + if near { 800 } else { 6_000 };
+        let is_on_disk = server.spec.on_disk.contains(&name);
+        server.busy_until = now + if is_on_disk { 800 } else { 6_000 };
         server.loading = Some(name);
       }
       (Act::Unload, None) => {
@@ -243,11 +243,7 @@
       }
     }
     let adapters: usize = server.held.values().map(Vec::len).sum();
-    assert!(
-      adapters <= 2,
-      "{} has more adapters than places",
-      command.id
-    );
+    assert!(adapters <= 2, "{} has more adapters than slots", command.id);
     Taken::Accepted
   }
 
@@ -273,7 +269,7 @@
     self.plan.receive_inventory(now, id, Ok(inventory));
   }
 
-  /// The life in which an instance knows a server: the current one.
+  /// Returns the current life of a server.
   pub fn life(&self, id: &str) -> Life {
     Life::of(
       id,
@@ -281,7 +277,7 @@
     )
   }
 
-  /// A server starts again under its id and address: it holds nothing and counts anew.
+  /// Restarts a server under its id and address: it holds no models and counts orders from 0.
   pub fn restart(&mut self, id: &str, born: u64) {
     let server = self.servers.get_mut(id).unwrap();
     server.spec.born = born;
--- a/tests/http.rs
+++ b/tests/http.rs
@@ -1,4 +1,4 @@
-//! Messages are taken apart strictly, however their bytes arrive.
+//! Messages are parsed strictly, and independently of how their bytes are split on arrival.
 
 use bendsaddle::{
   http::{Decoder, Framing, LAST_CHUNK, Request, Response, encode_chunk},
@@ -7,9 +7,9 @@
 use quickcheck::quickcheck;
 
 fn framing(head: &str) -> Result<Framing, String> {
-  let parsed = Request::parse(head.as_bytes()).map_err(|fault| fault.0)?;
-  let (request, _) = parsed.expect("the head is whole");
-  request.framing().map_err(|fault| fault.0)
+  let parsed = Request::parse(head.as_bytes()).map_err(|error| error.0)?;
+  let (request, _) = parsed.expect("the head is complete");
+  request.framing().map_err(|error| error.0)
 }
 
 #[test]
@@ -85,9 +85,9 @@
 }
 
 quickcheck! {
-  fn a_chunked_body_is_whole_however_it_arrives(pieces: Vec<Vec<u8>>, cuts: Vec<usize>) -> bool {
-    let pieces: Vec<Vec<u8>> = pieces.into_iter().filter(|piece| !piece.is_empty()).collect();
-    let mut wire: Vec<u8> = pieces.iter().flat_map(|piece| encode_chunk(piece)).collect();
+  fn a_chunked_body_is_whole_however_it_arrives(chunks: Vec<Vec<u8>>, cuts: Vec<usize>) -> bool {
+    let chunks: Vec<Vec<u8>> = chunks.into_iter().filter(|chunk| !chunk.is_empty()).collect();
+    let mut wire: Vec<u8> = chunks.iter().flat_map(|chunk| encode_chunk(chunk)).collect();
     wire.extend_from_slice(LAST_CHUNK);
     wire.extend_from_slice(b"next");
     let mut body = Decoder::new(Framing::Chunked);
@@ -98,35 +98,35 @@
       input.extend(wire.drain(..length));
       body.decode(&mut input, &mut out).unwrap();
     }
-    body.is_complete() && out == pieces.concat() && input == b"next"
+    body.is_complete() && out == chunks.concat() && input == b"next"
   }
 
   fn events_come_out_whole_however_they_arrive(count: u8, cuts: Vec<usize>) -> bool {
     let text: String = (0..count).map(|id| format!("id: {id}\ndata: x\n\n")).collect();
     let mut wire = text.clone().into_bytes();
-    let (mut events, mut out) = (Parser::default(), Vec::new());
+    let (mut parser, mut out) = (Parser::default(), Vec::new());
     let mut cuts = cuts.into_iter();
     while !wire.is_empty() {
       let length = cuts.next().map_or(wire.len(), |cut| cut % wire.len() + 1);
       let part: Vec<u8> = wire.drain(..length).collect();
-      let whole = events.push(&part);
-      if !whole.is_empty() && !whole.ends_with(b"\n\n") {
+      let complete = parser.push(&part);
+      if !complete.is_empty() && !complete.ends_with(b"\n\n") {
         return false;
       }
-      out.extend(whole);
+      out.extend(complete);
     }
     let last = count.checked_sub(1).map(|id| id.to_string());
-    out == text.as_bytes() && events.count == u64::from(count) && events.last_id == last
+    out == text.as_bytes() && parser.count == u64::from(count) && parser.last_id == last
   }
 }
 
 #[test]
 fn a_stream_cut_within_an_event_keeps_the_last_whole_one() {
-  let mut events = Parser::default();
-  let whole = events.push(b"id: 1\ndata: a\n\nid: 2\nda");
-  assert_eq!(whole, b"id: 1\ndata: a\n\n");
-  assert_eq!(events.last_id.as_deref(), Some("1"));
-  events.discard_partial();
-  assert!(events.partial().is_empty());
-  assert_eq!(events.last_id.as_deref(), Some("1"));
+  let mut parser = Parser::default();
+  let complete = parser.push(b"id: 1\ndata: a\n\nid: 2\nda");
+  assert_eq!(complete, b"id: 1\ndata: a\n\n");
+  assert_eq!(parser.last_id.as_deref(), Some("1"));
+  parser.discard_partial();
+  assert!(parser.partial().is_empty());
+  assert_eq!(parser.last_id.as_deref(), Some("1"));
 }
--- a/tests/hub.rs
+++ b/tests/hub.rs
@@ -1,4 +1,4 @@
-//! Decisions reach the threads that wait for them in the order in which they were made.
+//! Decisions reach the threads that wait for them in the order in which they are made.
 
 use bendsaddle::{
   backend::{Holding, Spec, Stage},
@@ -22,10 +22,10 @@
   thread,
 };
 
-/// Threads that ask, and requests of each.
+/// Number of threads that send requests, and of requests per thread.
 const THREADS: usize = 4;
 const REQUESTS: usize = 5_000;
-/// Time for which a request waits, ms: longer than the test takes.
+/// Time for which a request waits, ms; longer than the test takes.
 const PATIENCE_MS: u64 = 600_000;
 
 fn route() -> Arc<Route> {
@@ -84,8 +84,8 @@
   hub
 }
 
-/// Word that the server holds a model, or nothing.
-fn word(model: Option<&str>) -> Event {
+/// An update that the server holds a model, or no model if `model` is `None`.
+fn holdings_update(model: Option<&str>) -> Event {
   let models = model.iter().map(|name| (name.to_string(), Vec::new()));
   Event::Updated {
     holdings: vec![Holding {
@@ -101,12 +101,12 @@
   }
 }
 
-/// Waits for a request's decision as its thread does; whether it is to be sent.
-fn decided(hub: &Hub, mailbox: &Mailbox, ticket: Ticket) -> bool {
+/// Waits for a request's decision as its thread does; returns whether the request is to be sent.
+fn wait_until_decided(hub: &Hub, mailbox: &Mailbox, ticket: Ticket) -> bool {
   let mut directive = mailbox.take();
   while let Some(Directive::Wait(until)) = directive {
-    let [rung] = wait([Some((&mailbox.waker, Interest::Read))], hub.instant(until)).unwrap();
-    if rung {
+    let [woken] = wait([Some((&mailbox.waker, Interest::Read))], hub.instant(until)).unwrap();
+    if woken {
       mailbox.waker.clear();
       directive = mailbox.take().or(directive);
     } else {
@@ -117,11 +117,11 @@
   matches!(directive, Some(Directive::Send(_)))
 }
 
-fn ask(hub: &Hub, mailbox: &Arc<Mailbox>, route: &Arc<Route>) {
+fn run_request(hub: &Hub, mailbox: &Arc<Mailbox>, route: &Arc<Route>) {
   let ticket = hub.ticket(mailbox);
   mailbox.waker.clear();
   mailbox.take();
-  let ask = Descriptor {
+  let descriptor = Descriptor {
     ticket,
     id: "id".into(),
     route: route.clone(),
@@ -132,8 +132,11 @@
     content: Default::default(),
     caller: None,
   };
-  hub.apply(Event::Arrived(ask), Some(ticket));
-  assert!(decided(hub, mailbox, ticket), "its decision is lost");
+  hub.apply(Event::Arrived(descriptor), Some(ticket));
+  assert!(
+    wait_until_decided(hub, mailbox, ticket),
+    "the decision was lost"
+  );
   let end = End::Whole;
   hub.apply(Event::Ended { ticket, end }, Some(ticket));
   hub.close(ticket);
@@ -147,10 +150,10 @@
     let (hub, done) = (hub.clone(), done.clone());
     thread::spawn(move || {
       while !done.load(Ordering::Relaxed) {
-        hub.apply(word(Some("m")), None);
-        hub.apply(word(None), None);
+        hub.apply(holdings_update(Some("m")), None);
+        hub.apply(holdings_update(None), None);
       }
-      hub.apply(word(Some("m")), None);
+      hub.apply(holdings_update(Some("m")), None);
     })
   };
   let callers: Vec<_> = (0..THREADS)
@@ -158,11 +161,14 @@
       let (hub, route) = (hub.clone(), route.clone());
       thread::spawn(move || {
         let mailbox = Arc::new(Mailbox::new().unwrap());
-        (0..REQUESTS).for_each(|_| ask(&hub, &mailbox, &route));
+        (0..REQUESTS).for_each(|_| run_request(&hub, &mailbox, &route));
       })
     })
     .collect();
-  let ended: Vec<bool> = callers.into_iter().map(|one| one.join().is_ok()).collect();
+  let ended: Vec<bool> = callers
+    .into_iter()
+    .map(|caller| caller.join().is_ok())
+    .collect();
   done.store(true, Ordering::Relaxed);
   planner.join().unwrap();
   assert_eq!(ended, [true; THREADS]);
--- a/tests/lease.rs
+++ b/tests/lease.rs
@@ -1,5 +1,5 @@
-//! Two machines never give orders closer together than the gap, whatever the
-//! store answers, loses or delays, and however long a machine stands still.
+//! Orders of two machines are always at least the gap apart, for any responses, losses and delays
+//! of the store, and for suspensions of any length.
 
 use bendsaddle::{
   lease::promise::{Promise, Request, short_hash},
@@ -10,7 +10,7 @@
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use std::collections::{BTreeSet, VecDeque};
 
-const GAP: u64 = 3_000;
+const GAP_MS: u64 = 3_000;
 
 /// A store of one object.
 #[derive(Default)]
@@ -18,12 +18,12 @@
   object: Option<Object>,
   revision: u64,
   era: u64,
-  /// What it held, the last times.
+  /// Copies of the object and the revision, one for each of the last steps.
   copies: VecDeque<(Option<Object>, u64)>,
 }
 
-/// Steps for which copies are kept.
-const COPIES: usize = 160;
+/// Number of steps for which copies are kept.
+const COPY_COUNT: usize = 160;
 
 impl Store {
   fn apply(&mut self, call: &Call) -> Result<Object, Error> {
@@ -32,7 +32,7 @@
     };
     let current = self.object.as_ref();
     let current = current.map_or(Revision::default(), |object| object.revision);
-    // The era that a write was formed in is unknown to the store.
+    // The store does not know in which era a write was created.
     if current.number != revision.number {
       return Err(Error::Conflict);
     }
@@ -51,12 +51,12 @@
 
   fn keep_copy(&mut self) {
     self.copies.push_back((self.object.clone(), self.revision));
-    if self.copies.len() > COPIES {
+    if self.copies.len() > COPY_COUNT {
       self.copies.pop_front();
     }
   }
 
-  /// Comes back from a copy, so many steps old.
+  /// Restores a copy that is this number of steps old.
   fn restore(&mut self, steps: usize) {
     let kept = self.copies.len().saturating_sub(steps).max(1);
     self.copies.truncate(kept);
@@ -79,19 +79,19 @@
   }
 }
 
-fn lease(name: &str) -> Lease {
-  started(name, 0)
+fn new_lease(name: &str) -> Lease {
+  new_lease_at(name, 0)
 }
 
-fn started(name: &str, now: u64) -> Lease {
-  Lease::new(name, "127.0.0.1:1".parse().unwrap(), GAP, 0, now)
+fn new_lease_at(name: &str, now: u64) -> Lease {
+  Lease::new(name, "127.0.0.1:1".parse().unwrap(), GAP_MS, 0, now)
 }
 
 fn machines(names: &[&str]) -> BTreeSet<u32> {
   names.iter().map(|name| short_hash(name)).collect()
 }
 
-/// Lets an instance make its calls; the store answers at once.
+/// Makes the calls of an instance; the store responds immediately.
 fn run(lease: &mut Lease, store: &mut Store, now: u64) {
   for _ in 0..4 {
     if let Some(call) = lease.next_call(now, false) {
@@ -104,7 +104,7 @@
 #[test]
 fn the_first_takes_it_and_keeps_it() {
   let mut store = Store::default();
-  let (mut one, mut two) = (lease("one"), lease("two"));
+  let (mut one, mut two) = (new_lease("one"), new_lease("two"));
   for now in (0..20_000).step_by(100) {
     run(&mut one, &mut store, now);
     run(&mut two, &mut store, now);
@@ -116,9 +116,9 @@
 #[test]
 fn a_machine_that_starts_again_goes_on_at_once_under_a_new_term() {
   let mut store = Store::default();
-  let mut old = lease("one");
+  let mut old = new_lease("one");
   run(&mut old, &mut store, 0);
-  let mut new = lease("one");
+  let mut new = new_lease("one");
   run(&mut new, &mut store, 10);
   assert_eq!(new.term(10), Some(2));
 }
@@ -126,7 +126,7 @@
 #[test]
 fn a_released_lease_is_taken_after_the_gap() {
   let mut store = Store::default();
-  let (mut one, mut two) = (lease("one"), lease("two"));
+  let (mut one, mut two) = (new_lease("one"), new_lease("two"));
   run(&mut one, &mut store, 0);
   run(&mut two, &mut store, 0);
   let call = one.next_call(1_000, true).unwrap();
@@ -134,21 +134,21 @@
   one.record_call_result(1_000, &call, result);
   assert_eq!(one.term(1_000), None);
   assert!(store.record().released);
-  let taken = (1_000..20_000).step_by(50).find(|now| {
+  let acquired_at = (1_000..20_000).step_by(50).find(|now| {
     run(&mut two, &mut store, *now);
     two.term(*now).is_some()
   });
-  let taken = taken.expect("it is taken");
+  let acquired_at = acquired_at.expect("the lease is acquired");
   assert!(
-    (1_000 + GAP..1_000 + GAP + 1_500).contains(&taken),
-    "{taken}"
+    (1_000 + GAP_MS..1_000 + GAP_MS + 1_500).contains(&acquired_at),
+    "{acquired_at}"
   );
 }
 
 #[test]
 fn a_write_without_answer_is_read_back() {
   let mut store = Store::default();
-  let mut one = lease("one");
+  let mut one = new_lease("one");
   run(&mut one, &mut store, 0);
   let call = one.next_call(800, false).unwrap();
   store.apply(&call).unwrap();
@@ -164,15 +164,15 @@
 #[test]
 fn word_of_the_holder_holds_a_taker_back() {
   let mut store = Store::default();
-  let (mut one, mut two) = (lease("one"), lease("two"));
+  let (mut one, mut two) = (new_lease("one"), new_lease("two"));
   run(&mut one, &mut store, 0);
   run(&mut two, &mut store, 0);
   let address = "127.0.0.1:1".parse().unwrap();
   for now in (0..15_000).step_by(250) {
     run(&mut one, &mut store, now);
     two.receive(now, one.heartbeat(now).unwrap(), address);
-    // One read shows that no taking of an earlier process is left; others would tell the
-    // same as the word.
+    // One read shows that no acquire of an earlier process is pending; further reads would show no
+    // more than the heartbeat.
     let called = two.next_call(now, false);
     let read = (now == 10_000).then_some(Call::Read);
     assert_eq!(called, read, "{now}");
@@ -182,150 +182,158 @@
   }
 }
 
-/// A call on its way: answered, lost, or carried out late.
-struct Flight {
+/// A call in flight, which gets a response, is lost, or is applied late.
+struct PendingCall {
   at: u64,
-  /// Whose call it is; none: the store carries a write out late.
+  /// Index of the caller; `None` if the store applies a write late.
   who: Option<usize>,
   call: Call,
   applied: bool,
-  answers: bool,
+  has_response: bool,
 }
 
 /// A datagram between machines.
 #[derive(Clone)]
 enum Datagram {
   Heartbeat(Heartbeat),
-  Question(usize, Request),
+  Request(usize, Request),
   Promise(Promise),
 }
 
 const MACHINES: usize = 4;
 
-/// Plays some machines over a bad store, the last of which comes late and is not heard
-/// of at first; tells the orders each could give.
-fn play(seed: u64) -> Vec<(u64, usize, u64)> {
-  play_over(seed, false)
+/// Simulates machines with an unreliable store. The last machine starts late, and the others don't
+/// know it at first. Returns the orders that each machine could send: time, machine and term.
+fn simulate(seed: u64) -> Vec<(u64, usize, u64)> {
+  simulate_with(seed, false)
 }
 
-/// The same; `returns`: the store comes back from copies up to 8 s old now and then.
-fn play_over(seed: u64, returns: bool) -> Vec<(u64, usize, u64)> {
-  let mut returning = SmallRng::seed_from_u64(!seed);
+/// Same as `simulate`; with `restores`, the store is occasionally restored from copies up to 8 s
+/// old.
+fn simulate_with(seed: u64, restores: bool) -> Vec<(u64, usize, u64)> {
+  let mut restore_rng = SmallRng::seed_from_u64(!seed);
   let mut rng = SmallRng::seed_from_u64(seed);
   let mut store = Store::default();
   let names = ["one", "two", "three", "four"];
-  let mut leases: Vec<Lease> = names.iter().map(|name| lease(name)).collect();
-  // The first ones have been there for long.
-  let joins = rng.random_range(15_000..50_000);
-  let heard_at = joins + rng.random_range(0..20_000);
-  leases[3] = started(names[3], joins);
-  let mut cut = [0u64; MACHINES];
-  let mut frozen = [0u64; MACHINES];
-  let mut flights: Vec<Flight> = Vec::new();
-  let mut words: Vec<(u64, usize, Datagram)> = Vec::new();
+  let mut leases: Vec<Lease> = names.iter().map(|name| new_lease(name)).collect();
+  // The other machines have been running since the start.
+  let joins_at = rng.random_range(15_000..50_000);
+  let known_at = joins_at + rng.random_range(0..20_000);
+  leases[3] = new_lease_at(names[3], joins_at);
+  let mut cut_off_until = [0u64; MACHINES];
+  let mut suspended_until = [0u64; MACHINES];
+  let mut pending_calls: Vec<PendingCall> = Vec::new();
+  let mut datagrams: Vec<(u64, usize, Datagram)> = Vec::new();
   let mut orders = Vec::new();
   let address = "127.0.0.1:1".parse().unwrap();
   for now in (0..90_000u64).step_by(50) {
-    if returns && returning.random_range(0..250) == 0 {
-      store.restore(returning.random_range(0..COPIES));
+    if restores && restore_rng.random_range(0..250) == 0 {
+      store.restore(restore_rng.random_range(0..COPY_COUNT));
     }
     store.keep_copy();
-    let due: Vec<(u64, usize, Datagram)> = words
-      .extract_if(.., |(at, who, _)| *at <= now && now >= frozen[*who])
+    let due: Vec<(u64, usize, Datagram)> = datagrams
+      .extract_if(.., |(at, who, _)| {
+        *at <= now && now >= suspended_until[*who]
+      })
       .collect();
     for (_, who, datagram) in due {
       match datagram {
-        Datagram::Heartbeat(word) => leases[who].receive(now, word, address),
-        Datagram::Question(from, question) => {
-          if let Some(promise) = leases[who].promise(now, question) {
+        Datagram::Heartbeat(heartbeat) => leases[who].receive(now, heartbeat, address),
+        Datagram::Request(from, request) => {
+          if let Some(promise) = leases[who].promise(now, request) {
             let at = now + rng.random_range(1..100);
-            words.push((at, from, Datagram::Promise(promise)));
+            datagrams.push((at, from, Datagram::Promise(promise)));
           }
         }
         Datagram::Promise(promise) => leases[who].receive_promise(&promise),
       }
     }
-    let (due, later): (Vec<Flight>, Vec<Flight>) =
-      flights.into_iter().partition(|flight| flight.at <= now);
-    flights = later;
-    for flight in due {
-      let result = match flight.applied {
-        true => store.apply(&flight.call),
+    let (due, later): (Vec<PendingCall>, Vec<PendingCall>) = pending_calls
+      .into_iter()
+      .partition(|call_in_flight| call_in_flight.at <= now);
+    pending_calls = later;
+    for call_in_flight in due {
+      let result = match call_in_flight.applied {
+        true => store.apply(&call_in_flight.call),
         false => Err(Error::Refused(503)),
       };
-      let Some(who) = flight.who else {
+      let Some(who) = call_in_flight.who else {
         continue;
       };
-      let heard = flight.answers && now >= frozen[who];
-      let result = if heard { result } else { Err(Error::NoAnswer) };
-      leases[who].record_call_result(now, &flight.call, result);
+      let arrives = call_in_flight.has_response && now >= suspended_until[who];
+      let result = if arrives {
+        result
+      } else {
+        Err(Error::NoAnswer)
+      };
+      leases[who].record_call_result(now, &call_in_flight.call, result);
     }
     for who in 0..MACHINES {
-      if who == 3 && now < joins {
+      if who == 3 && now < joins_at {
         continue;
       }
-      let known = if now < heard_at {
+      let known = if now < known_at {
         &names[..3]
       } else {
         &names[..]
       };
       leases[who].set_machines(machines(known));
       if rng.random_range(0..300) == 0 {
-        cut[who] = now + rng.random_range(500..12_000);
+        cut_off_until[who] = now + rng.random_range(500..12_000);
       }
       if rng.random_range(0..400) == 0 {
-        frozen[who] = now + rng.random_range(200..9_000);
+        suspended_until[who] = now + rng.random_range(200..9_000);
       }
       if rng.random_range(0..1_500) == 0 {
-        leases[who] = started(names[who], now);
-        flights.retain(|flight| flight.who != Some(who));
+        leases[who] = new_lease_at(names[who], now);
+        pending_calls.retain(|call_in_flight| call_in_flight.who != Some(who));
       }
-      if now < frozen[who] {
+      if now < suspended_until[who] {
         continue;
       }
       if let Some(term) = leases[who].term(now) {
         orders.push((now, who, term));
       }
       if rng.random_range(0..6) == 0
-        && let Some(word) = leases[who].heartbeat(now)
+        && let Some(heartbeat) = leases[who].heartbeat(now)
       {
         let other = (who + rng.random_range(1..MACHINES)) % MACHINES;
-        words.push((
+        datagrams.push((
           now + rng.random_range(1..300),
           other,
-          Datagram::Heartbeat(word),
+          Datagram::Heartbeat(heartbeat),
         ));
       }
-      if let Some(question) = leases[who].next_promise_request(now) {
+      if let Some(request) = leases[who].next_promise_request(now) {
         for other in (0..MACHINES).filter(|other| *other != who) {
-          let reached = (other < 3 || now >= heard_at) && rng.random_range(0..8) > 0;
+          let reached = (other < 3 || now >= known_at) && rng.random_range(0..8) > 0;
           if reached {
             let at = now + rng.random_range(1..150);
-            words.push((at, other, Datagram::Question(who, question)));
+            datagrams.push((at, other, Datagram::Request(who, request)));
           }
         }
       }
       if let Some(call) = leases[who].next_call(now, false) {
         let at = now + rng.random_range(1..400);
-        let kind = match now < cut[who] {
+        let kind = match now < cut_off_until[who] {
           true => 2,
           false => rng.random_range(0..10),
         };
         let late = kind == 0;
-        flights.push(Flight {
+        pending_calls.push(PendingCall {
           at,
           who: Some(who),
           call: call.clone(),
           applied: kind > 2,
-          answers: kind > 3,
+          has_response: kind > 3,
         });
         if late {
-          flights.push(Flight {
+          pending_calls.push(PendingCall {
             at: at + rng.random_range(1_000..6_000),
             who: None,
             call,
             applied: true,
-            answers: false,
+            has_response: false,
           });
         }
       }
@@ -337,7 +345,7 @@
 fn too_close(orders: &[(u64, usize, u64)]) -> Option<String> {
   for pair in orders.windows(2) {
     let ((before, one, term), (after, two, next)) = (pair[0], pair[1]);
-    if one != two && after < before + GAP {
+    if one != two && after < before + GAP_MS {
       return Some(format!("{one} at {before}, {two} at {after}"));
     }
     if next < term || (one != two && next == term) {
@@ -350,7 +358,7 @@
 #[test]
 fn a_holder_that_hears_of_another_one_does_not_renew_its_lease() {
   let mut store = Store::default();
-  let (mut one, mut two) = (lease("one"), lease("two"));
+  let (mut one, mut two) = (new_lease("one"), new_lease("two"));
   one.set_machines(machines(&["two"]));
   run(&mut one, &mut store, 0);
   run(&mut two, &mut store, 0);
@@ -367,18 +375,18 @@
 
 quickcheck! {
   fn orders_of_two_machines_lie_the_gap_apart(seed: u64) -> TestResult {
-    match too_close(&play(seed)) {
+    match too_close(&simulate(seed)) {
       None => TestResult::passed(),
-      Some(fault) => TestResult::error(format!("seed {seed}: {fault}")),
+      Some(violation) => TestResult::error(format!("seed {seed}: {violation}")),
     }
   }
 }
 
 quickcheck! {
   fn orders_lie_the_gap_apart_where_the_store_comes_back_from_copies(seed: u64) -> TestResult {
-    match too_close(&play_over(seed, true)) {
+    match too_close(&simulate_with(seed, true)) {
       None => TestResult::passed(),
-      Some(fault) => TestResult::error(format!("seed {seed}: {fault}")),
+      Some(violation) => TestResult::error(format!("seed {seed}: {violation}")),
     }
   }
 }
@@ -391,16 +399,17 @@
     523_618_388_040_073_492,
     12,
   ] {
-    assert_eq!(too_close(&play_over(seed, true)), None, "seed {seed}");
+    assert_eq!(too_close(&simulate_with(seed, true)), None, "seed {seed}");
   }
 }
 
-/// Lets some machines play over a store that is away and returns from a copy of so many steps before
-/// at 10 s; `dies`: the first one ends then. Tells the orders.
-fn returned(steps: usize, away_ms: u64, dies: bool) -> Vec<(u64, usize)> {
+/// Simulates machines with a store that is unavailable for `outage_ms` and is restored at 10 s from
+/// a copy that is `steps` steps old; with `dies`, the first machine fails then. Returns the orders:
+/// time and machine.
+fn simulate_restore(steps: usize, outage_ms: u64, dies: bool) -> Vec<(u64, usize)> {
   let names = ["one", "two", "three"];
   let mut store = Store::default();
-  let mut leases: Vec<Lease> = names.iter().map(|name| lease(name)).collect();
+  let mut leases: Vec<Lease> = names.iter().map(|name| new_lease(name)).collect();
   let address = "127.0.0.1:1".parse().unwrap();
   let mut orders = Vec::new();
   for now in (0..60_000).step_by(50) {
@@ -413,15 +422,15 @@
         continue;
       }
       leases[who].set_machines(machines(&names));
-      if let Some(word) = leases[who].heartbeat(now) {
+      if let Some(heartbeat) = leases[who].heartbeat(now) {
         let others = (0..3).filter(|other| *other != who);
-        others.for_each(|other| leases[other].receive(now, word.clone(), address));
+        others.for_each(|other| leases[other].receive(now, heartbeat.clone(), address));
       }
       if leases[who].term(now).is_some() {
         orders.push((now, who));
       }
-      let away = (10_000 - away_ms..10_000).contains(&now);
-      match away {
+      let unavailable = (10_000 - outage_ms..10_000).contains(&now);
+      match unavailable {
         false => run(&mut leases[who], &mut store, now),
         true => {
           if let Some(call) = leases[who].next_call(now, false) {
@@ -437,9 +446,9 @@
 #[test]
 fn a_holder_whose_time_ended_while_the_store_was_away_goes_on_with_its_return() {
   for steps in [0, 10, 100] {
-    let orders = returned(steps, 2_500, false);
+    let orders = simulate_restore(steps, 2_500, false);
     let next = orders.iter().find(|(now, _)| *now >= 10_000);
-    let (now, who) = next.expect("it goes on");
+    let (now, who) = next.expect("an order follows");
     assert!(
       *who == 0 && *now <= 11_000,
       "{steps} steps: {who} at {now} ms"
@@ -450,7 +459,7 @@
 #[test]
 fn a_holder_goes_on_when_the_store_comes_back_from_a_copy() {
   for steps in [0, 10, 100] {
-    let orders = returned(steps, 0, false);
+    let orders = simulate_restore(steps, 0, false);
     let gaps = orders.windows(2).map(|pair| pair[1].0 - pair[0].0);
     assert!(gaps.max().unwrap() <= 100, "{steps} steps");
     assert!(orders.iter().all(|(_, who)| *who == 0), "{steps} steps");
@@ -460,27 +469,27 @@
 #[test]
 fn a_lease_whose_holder_ends_with_the_return_is_taken() {
   for steps in [0, 10, 100] {
-    let orders = returned(steps, 0, true);
+    let orders = simulate_restore(steps, 0, true);
     let next = orders.iter().find(|(now, _)| *now >= 12_000);
-    let (now, _) = next.expect("it is taken");
-    // As after any other end of a holder that the store shows.
+    let (now, _) = next.expect("the lease is acquired");
+    // Same delay as after any other failure of a holder that the store's record shows.
     assert!(*now <= 18_000, "{steps} steps: at {now} ms");
   }
 }
 
-/// Plays a holder that the store turns away from 5 s to 12 s, and what the others do.
-fn turned_away(promises: bool) -> Vec<(u64, usize)> {
+/// Simulates three machines of which the store refuses the first one, the holder, from 5 s to 12 s.
+fn simulate_refusal(promises: bool) -> Vec<(u64, usize)> {
   let names = ["one", "two", "three"];
   let mut store = Store::default();
-  let mut leases: Vec<Lease> = names.iter().map(|name| lease(name)).collect();
+  let mut leases: Vec<Lease> = names.iter().map(|name| new_lease(name)).collect();
   let address = "127.0.0.1:1".parse().unwrap();
   let mut orders = Vec::new();
   for now in (0..25_000).step_by(50) {
     for who in 0..3 {
       leases[who].set_machines(machines(&names));
-      if let Some(word) = leases[who].heartbeat(now) {
+      if let Some(heartbeat) = leases[who].heartbeat(now) {
         let others = (0..3).filter(|other| *other != who);
-        others.for_each(|other| leases[other].receive(now, word.clone(), address));
+        others.for_each(|other| leases[other].receive(now, heartbeat.clone(), address));
       }
       if leases[who].term(now).is_some() {
         orders.push((now, who));
@@ -492,11 +501,11 @@
         };
         leases[who].record_call_result(now, &call, result);
       }
-      let Some(question) = leases[who].next_promise_request(now).filter(|_| promises) else {
+      let Some(request) = leases[who].next_promise_request(now).filter(|_| promises) else {
         continue;
       };
       for other in (0..3).filter(|other| *other != who) {
-        if let Some(promise) = leases[other].promise(now, question) {
+        if let Some(promise) = leases[other].promise(now, request) {
           leases[who].receive_promise(&promise);
         }
       }
@@ -511,10 +520,10 @@
     let pairs = orders.windows(2).map(|pair| pair[1].0 - pair[0].0);
     pairs.max().unwrap()
   };
-  let (without, with) = (turned_away(false), turned_away(true));
-  assert!(gap(&without) >= GAP, "{}", gap(&without));
-  // A machine that started a short time ago promises nothing: its earlier process may
-  // still take the lease.
+  let (without, with) = (simulate_refusal(false), simulate_refusal(true));
+  assert!(gap(&without) >= GAP_MS, "{}", gap(&without));
+  // A machine that started recently makes no promise, because its earlier process may still acquire
+  // the lease.
   let later: Vec<(u64, usize)> = with
     .iter()
     .copied()
@@ -526,24 +535,24 @@
 #[test]
 fn a_machine_that_is_not_listed_waits_until_no_extension_can_be_in_force() {
   let mut store = Store::default();
-  let (mut one, mut two) = (lease("one"), lease("two"));
+  let (mut one, mut two) = (new_lease("one"), new_lease("two"));
   run(&mut one, &mut store, 0);
-  let taken = (0..60_000).step_by(50).find(|now| {
+  let acquired_at = (0..60_000).step_by(50).find(|now| {
     run(&mut two, &mut store, *now);
     two.term(*now).is_some()
   });
-  let taken = taken.expect("it is taken");
-  assert!((24_000..27_000).contains(&taken), "{taken}");
+  let acquired_at = acquired_at.expect("the lease is acquired");
+  assert!((24_000..27_000).contains(&acquired_at), "{acquired_at}");
 }
 
 #[test]
 fn a_machine_whose_taking_may_be_on_its_way_promises_nothing() {
   let mut store = Store::default();
-  let (mut one, mut two) = (lease("one"), lease("two"));
+  let (mut one, mut two) = (new_lease("one"), new_lease("two"));
   one.set_machines(machines(&["two"]));
   run(&mut one, &mut store, 0);
   run(&mut two, &mut store, 0);
-  let taking = (0..9_000).step_by(50).find_map(|now| {
+  let acquire_write = (0..9_000).step_by(50).find_map(|now| {
     let call = two.next_call(now, false)?;
     if let Call::Write { .. } = call {
       return Some((now, call));
@@ -551,35 +560,43 @@
     two.record_call_result(now, &call, store.apply(&call));
     None
   });
-  let (now, call) = taking.expect("the holder is silent");
-  let question = |now: u64| Request {
+  let (now, call) = acquire_write.expect("the holder sends no heartbeat");
+  let request = |now: u64| Request {
     term: 1,
     extends: true,
     round: now as u32,
   };
-  assert_eq!(two.promise(now + 10, question(now)), None, "under way");
+  assert_eq!(
+    two.promise(now + 10, request(now)),
+    None,
+    "the write is in flight"
+  );
   two.record_call_result(now + 1_000, &call, Err(Error::NoAnswer));
-  assert_eq!(two.promise(now + 1_100, question(now)), None, "no answer");
   assert_eq!(
-    two.promise(now + 9_000, question(now)),
+    two.promise(now + 1_100, request(now)),
+    None,
+    "the write got no response"
+  );
+  assert_eq!(
+    two.promise(now + 9_000, request(now)),
     None,
-    "may come late"
+    "the write may be applied late"
   );
   assert_eq!(
-    two.promise(now + 12_000, question(now)),
+    two.promise(now + 12_000, request(now)),
     None,
-    "not read since"
+    "the record was not read since"
   );
   let read = two.next_call(now + 12_000, false).unwrap();
   assert_eq!(read, Call::Read);
   two.record_call_result(now + 12_010, &read, store.apply(&read));
-  assert!(two.promise(now + 12_100, question(now)).is_some());
+  assert!(two.promise(now + 12_100, request(now)).is_some());
 }
 
 #[test]
 fn orders_lie_the_gap_apart_where_they_once_did_not() {
-  // A taking had reached the store unknown to its machine; a restarted machine forgot its
-  // promise; word of an extending holder gave the time of its renewal.
+  // Causes: an acquire had reached the store without its machine knowing; a restarted machine lost
+  // its promise; the heartbeat of a holder that extended its lease gave the time of its renewal.
   let seeds = [
     2_052_517,
     3_061_382,
@@ -591,14 +608,14 @@
     1_081_553_691_701_409,
   ];
   for seed in seeds {
-    assert_eq!(too_close(&play(seed)), None, "seed {seed}");
+    assert_eq!(too_close(&simulate(seed)), None, "seed {seed}");
   }
 }
 
 #[test]
 fn the_histories_have_several_holders() {
   let holders = |seed| {
-    let orders = play(seed);
+    let orders = simulate(seed);
     let changes = orders.windows(2).filter(|pair| pair[0].1 != pair[1].1);
     changes.count()
   };
--- a/tests/leaving.rs
+++ b/tests/leaving.rs
@@ -25,17 +25,17 @@
     .model("contracts", 200)
 }
 
-fn placed(fleet: &Fleet) -> usize {
+fn engine_index(fleet: &Fleet) -> usize {
   let record = fleet.platform.record("contracts");
   fleet.engine(&record.replicas[0].server)
 }
 
-fn served(fleet: &Fleet, at: usize, prompt: &str) {
+fn assert_served(fleet: &Fleet, at: usize, prompt: &str) {
   let reply = Ask::of("contracts", prompt, 5).send(fleet.callers(at));
   assert!(reply.is(&answer(prompt, 5)), "{reply:?}");
 }
 
-fn all_know_it_leaves(fleet: &Fleet, server: &str) -> bool {
+fn all_instances_show_leaving(fleet: &Fleet, server: &str) -> bool {
   fleet.members.iter().all(|member| {
     let leaving = member.status()["leaving"].clone();
     leaving
@@ -47,14 +47,16 @@
 #[test]
 fn a_leaving_server_gets_no_new_work_and_its_model_moves() {
   let fleet = plan().engines(2, |_| {}).start().unwrap();
-  served(&fleet, 0, "before");
-  let old = placed(&fleet);
+  assert_served(&fleet, 0, "before");
+  let old = engine_index(&fleet);
   let name = fleet.engines[old].name().to_string();
   fleet.platform.machine(&name, None, MachineState::Leaving);
-  wait_for("all to know", || all_know_it_leaves(&fleet, &name));
+  wait_for("all instances to show the server as leaving", || {
+    all_instances_show_leaving(&fleet, &name)
+  });
   let runs = fleet.engines[old].runs().len();
   for at in 0..6 {
-    served(&fleet, at, &format!("after {at}"));
+    assert_served(&fleet, at, &format!("after {at}"));
   }
   assert_eq!(fleet.engines[old].runs().len(), runs);
   assert_eq!(fleet.engines[1 - old].runs().len(), 6);
@@ -74,15 +76,19 @@
   wait_for("two replicas", || fleet.loaded("contracts") == 2);
   let name = fleet.engines[0].name().to_string();
   fleet.platform.machine(&name, None, MachineState::Leaving);
-  wait_for("all to know", || all_know_it_leaves(&fleet, &name));
+  wait_for("all instances to show the server as leaving", || {
+    all_instances_show_leaving(&fleet, &name)
+  });
   fleet.platform_proxy.fault(Fault::Refuse);
-  // An instance that starts now learns it from its peers.
+  // An instance that starts now learns of the leaving server from its peers.
   fleet.add().unwrap();
   fleet.settle();
-  wait_for("the new one to know", || all_know_it_leaves(&fleet, &name));
+  wait_for("the new instance to show the server as leaving", || {
+    all_instances_show_leaving(&fleet, &name)
+  });
   let runs = fleet.engines[0].runs().len();
   for at in 0..8 {
-    served(&fleet, at, &format!("down {at}"));
+    assert_served(&fleet, at, &format!("down {at}"));
   }
   assert_eq!(fleet.engines[0].runs().len(), runs);
 }
@@ -90,11 +96,11 @@
 #[test]
 fn an_engine_that_says_it_leaves_gets_no_work_without_the_list() {
   let fleet = plan().engines(2, |_| {}).start().unwrap();
-  served(&fleet, 0, "before");
-  let old = placed(&fleet);
+  assert_served(&fleet, 0, "before");
+  let old = engine_index(&fleet);
   fleet.engines[old].leave();
   for at in 0..6 {
-    served(&fleet, at, &format!("after {at}"));
+    assert_served(&fleet, at, &format!("after {at}"));
   }
   assert_eq!(fleet.engines[1 - old].runs().len(), 6);
 }
@@ -108,7 +114,7 @@
   let address = fleet.callers(0).to_string();
   let request = thread::spawn(move || Ask::of("contracts", "moved", 5).send(&address));
   wait_for("a load", || fleet.loads() == 1);
-  let old = placed(&fleet);
+  let old = engine_index(&fleet);
   fleet
     .platform
     .machine(fleet.engines[old].name(), None, MachineState::Leaving);
@@ -118,7 +124,7 @@
   assert_eq!(fleet.violations(), Vec::<String>::new());
 }
 
-/// Callers that ask one after the other, as a balancer would spread them.
+/// Callers that send requests one after another, spread over the instances as by a load balancer.
 struct Load {
   stop: Arc<AtomicBool>,
   targets: Arc<Mutex<Vec<String>>>,
@@ -128,10 +134,10 @@
 impl Load {
   fn start(fleet: &Fleet, callers: usize) -> Self {
     let stop = Arc::new(AtomicBool::new(false));
-    let targets = Arc::new(Mutex::new(Self::serving(fleet)));
+    let targets = Arc::new(Mutex::new(Self::targets_of(fleet)));
     let threads = (0..callers).map(|at| {
       let (stop, targets) = (stop.clone(), targets.clone());
-      thread::spawn(move || ask_on(at, &stop, &targets))
+      thread::spawn(move || send_requests(at, &stop, &targets))
     });
     Self {
       threads: threads.collect(),
@@ -140,39 +146,39 @@
     }
   }
 
-  fn serving(fleet: &Fleet) -> Vec<String> {
+  fn targets_of(fleet: &Fleet) -> Vec<String> {
     let members = fleet.members.iter();
     members.map(|member| member.callers.clone()).collect()
   }
 
-  /// The balancer takes a target out when its health turns false.
-  fn retarget(&self, fleet: &Fleet, without: Option<usize>) {
-    let mut targets = Self::serving(fleet);
-    if let Some(without) = without {
-      targets.remove(without);
+  /// Updates the targets, leaving one out as a load balancer does when its health check fails.
+  fn retarget(&self, fleet: &Fleet, excluded: Option<usize>) {
+    let mut targets = Self::targets_of(fleet);
+    if let Some(excluded) = excluded {
+      targets.remove(excluded);
     }
     *self.targets.lock().unwrap() = targets;
   }
 
   fn end(self) -> (usize, Vec<caller::Answer>) {
     self.stop.store(true, Ordering::Relaxed);
-    let mut whole = 0;
+    let mut completed = 0;
     let mut others = Vec::new();
     for thread in self.threads {
       let (count, failed) = thread.join().unwrap();
-      whole += count;
+      completed += count;
       others.extend(failed);
     }
-    (whole, others)
+    (completed, others)
   }
 }
 
-fn ask_on(
+fn send_requests(
   caller: usize,
   stop: &AtomicBool,
   targets: &Mutex<Vec<String>>,
 ) -> (usize, Vec<caller::Answer>) {
-  let mut whole = 0;
+  let mut completed = 0;
   let mut others = Vec::new();
   let mut at = caller;
   while !stop.load(Ordering::Relaxed) {
@@ -184,16 +190,16 @@
     let prompt = format!("load {caller} {at}");
     let reply = Ask::of("contracts", &prompt, 10).send(&target);
     if reply.is(&answer(&prompt, 10)) {
-      whole += 1;
+      completed += 1;
     } else {
       others.push(reply);
     }
   }
-  (whole, others)
+  (completed, others)
 }
 
-/// Each request not served was refused by name, as not run and with a time.
-fn truly_refused(others: &[caller::Answer]) {
+/// Checks that each request that was not served was refused as `stopping` and not run.
+fn assert_refused_by_stopping(others: &[caller::Answer]) {
   for reply in others {
     assert_eq!(
       (reply.reason.as_str(), reply.verdict.as_str()),
@@ -203,13 +209,13 @@
   }
 }
 
-/// A fleet of two engines under the load of six callers.
+/// A fleet with two engines under the load of six callers.
 fn loaded() -> (Fleet, Load) {
   let fleet = plan()
     .engines(2, |options| options.token = Duration::from_millis(10))
     .start()
     .unwrap();
-  served(&fleet, 0, "warm");
+  assert_served(&fleet, 0, "warm");
   let load = Load::start(&fleet, 6);
   (fleet, load)
 }
@@ -226,9 +232,9 @@
   });
   load.retarget(&fleet, Some(0));
   assert!(fleet.members[0].wait());
-  let (whole, others) = load.end();
-  assert!(whole > 10);
-  truly_refused(&others);
+  let (completed, others) = load.end();
+  assert!(completed > 10);
+  assert_refused_by_stopping(&others);
 }
 
 #[test]
@@ -240,13 +246,15 @@
     load.retarget(&fleet, Some(0));
     fleet.members[0].signal("-TERM");
     assert!(fleet.members[0].wait());
-    let gone = fleet.members.remove(0);
-    fleet.platform.machine(&gone.name, None, MachineState::Gone);
+    let removed = fleet.members.remove(0);
+    fleet
+      .platform
+      .machine(&removed.name, None, MachineState::Gone);
   }
-  let (whole, others) = load.end();
-  assert!(whole > 10);
-  truly_refused(&others);
-  served(&fleet, 0, "after");
+  let (completed, others) = load.end();
+  assert!(completed > 10);
+  assert_refused_by_stopping(&others);
+  assert_served(&fleet, 0, "after");
   assert_eq!(fleet.loads(), 1);
   assert_eq!(fleet.violations(), Vec::<String>::new());
 }
