--- a/tests/fleet_limit/mod.rs
+++ b/tests/fleet_limit/mod.rs
@@ -28,7 +28,7 @@
 const SLACK: f64 = 5.0;
 /// Time from a response that announces a limit to the last request of that instance that may exceed
 /// it, ms.
-pub const HEARD_MS: u64 = 500;
+pub const ENFORCEMENT_DELAY_MS: u64 = 500;
 /// Time from the loss of a holder until the next one takes over, ms.
 const TAKEOVER_MS: u64 = 3_500;
 /// Intervals at which the holder publishes usage sums and all limits that it knows, ms.
@@ -39,7 +39,7 @@
 
 /// Load and failures of a simulated fleet.
 #[derive(Clone, Debug)]
-pub struct Story {
+pub struct Scenario {
   pub seed: u64,
   pub instances: usize,
   pub servers: usize,
@@ -47,16 +47,16 @@
   pub load: f64,
   /// Limits that the first server announces: from which time, ms, and requests per second; `None`
   /// ends the limit.
-  pub named: Vec<(u64, Option<f64>)>,
+  pub announced: Vec<(u64, Option<f64>)>,
   /// Time at which the first server restarts, ms; it then announces the same limit.
   pub restart: Option<u64>,
   /// Number of instances that are killed and restart, at which time, ms, and whether the holder is
   /// killed too.
-  pub herd: Option<(usize, u64, bool)>,
+  pub kill: Option<(usize, u64, bool)>,
   /// Number of instances whose datagrams are lost, with start and end, ms.
-  pub cut: Option<(usize, u64, u64)>,
+  pub partitioned: Option<(usize, u64, u64)>,
   /// Number of instances that are suspended, with start and end, ms.
-  pub frozen: Option<(usize, u64, u64)>,
+  pub suspended: Option<(usize, u64, u64)>,
   /// Fractions of sends that servers decline, and that break after they started.
   pub declined: f64,
   pub broken: f64,
@@ -69,17 +69,17 @@
 pub struct Outcome {
   /// By how much the fullest window exceeds what is allowed in it, counting requests of instances
   /// that know the limit; negative if it is below.
-  pub beyond: f64,
+  pub excess: f64,
   /// Number of requests that the first server received while it announced a limit, and the number
   /// that the limit allowed.
-  pub got: usize,
+  pub received: usize,
   pub allowed: f64,
   pub served: usize,
   pub refused: usize,
   /// Longest wait of a request that was refused because of a limit without being sent, ms.
   pub slowest_refusal_ms: u64,
   /// Number of requests that the first server received in the last second.
-  pub at_last: usize,
+  pub received_in_last_second: usize,
   pub messages: usize,
 }
 
@@ -107,7 +107,7 @@
 }
 
 struct Fleet<'a> {
-  story: &'a Story,
+  story: &'a Scenario,
   rng: SmallRng,
   instances: Vec<Instance>,
   /// Index of the holder, and the time before which no holder responds, ms.
@@ -176,7 +176,7 @@
 }
 
 /// Simulates a scenario.
-pub fn play(story: &Story) -> Outcome {
+pub fn simulate(story: &Scenario) -> Outcome {
   let mut fleet = Fleet {
     rng: SmallRng::seed_from_u64(story.seed),
     instances: Vec::new(),
@@ -194,7 +194,7 @@
     informed_requests: Vec::new(),
     got: Vec::new(),
     outcome: Outcome {
-      beyond: f64::NEG_INFINITY,
+      excess: f64::NEG_INFINITY,
       ..Outcome::default()
     },
     story,
@@ -249,11 +249,11 @@
   }
 
   fn is_partitioned(&self, now: u64, index: usize) -> bool {
-    is_affected(self.story.cut, index, now)
+    is_affected(self.story.partitioned, index, now)
   }
 
   fn frozen(&self, now: u64, index: usize) -> bool {
-    is_affected(self.story.frozen, index, now)
+    is_affected(self.story.suspended, index, now)
   }
 
   fn post(&mut self, at: u64, message: Message) {
@@ -302,7 +302,7 @@
       }
       self.close_window();
     }
-    if let Some((count, at, holder)) = self.story.herd
+    if let Some((count, at, holder)) = self.story.kill
       && now == at
     {
       for index in 0..count {
@@ -313,7 +313,7 @@
         self.holder_at = now + TAKEOVER_MS;
       }
     }
-    if let Some((count, _, until)) = self.story.frozen
+    if let Some((count, _, until)) = self.story.suspended
       && now == until
     {
       // After a suspension an instance must receive the limit again before its requests count.
@@ -377,7 +377,7 @@
       && self.frozen(now, index)
     {
       // A suspended instance reads messages when it resumes.
-      let (_, _, until) = self.story.frozen.unwrap();
+      let (_, _, until) = self.story.suspended.unwrap();
       return self.post(until, drop_outdated(message));
     }
     match message {
@@ -435,7 +435,7 @@
 
   /// Limit that the first server announces at a time; `None` if it announces none.
   fn announced_rate(&self, now: u64) -> Option<f64> {
-    let mut named = self.story.named.iter();
+    let mut named = self.story.announced.iter();
     let last = named.rfind(|(at, _)| *at <= now);
     last.and_then(|(_, rate)| *rate)
   }
@@ -453,10 +453,12 @@
     if first {
       self.got.push(now);
       if rate.is_some() {
-        self.outcome.got += 1;
+        self.outcome.received += 1;
       }
       let informed_at = self.instances[index].informed_at;
-      if rate.is_some() && informed_at.is_some_and(|informed_at| now >= informed_at + HEARD_MS) {
+      if rate.is_some()
+        && informed_at.is_some_and(|informed_at| now >= informed_at + ENFORCEMENT_DELAY_MS)
+      {
         self.informed_requests.push(now);
       }
     }
@@ -585,7 +587,7 @@
   /// Records the fullest window so far; later windows belong to another life of the server.
   fn close_window(&mut self) {
     let informed_requests = std::mem::take(&mut self.informed_requests);
-    let rates = self.story.named.iter().filter_map(|(_, rate)| *rate);
+    let rates = self.story.announced.iter().filter_map(|(_, rate)| *rate);
     let most_rate = rates.fold(0.0, f64::max);
     let allowed = most_rate * WINDOW_MS as f64 / 1_000.0 * OVERAGE + SLACK;
     let mut first = 0;
@@ -594,19 +596,19 @@
         first += 1;
       }
       let beyond = (last + 1 - first) as f64 - allowed;
-      self.outcome.beyond = self.outcome.beyond.max(beyond);
+      self.outcome.excess = self.outcome.excess.max(beyond);
     }
   }
 
   fn finish(mut self) -> Outcome {
     self.close_window();
-    let named = self.story.named.first().map_or(0, |(at, _)| *at);
+    let named = self.story.announced.first().map_or(0, |(at, _)| *at);
     let rate = self
       .announced_rate(self.story.length_ms)
       .unwrap_or_default();
     self.outcome.allowed = rate * (self.story.length_ms - named) as f64 / 1_000.0;
     let last = self.story.length_ms - 1_000;
-    self.outcome.at_last = self.got.iter().filter(|at| **at >= last).count();
+    self.outcome.received_in_last_second = self.got.iter().filter(|at| **at >= last).count();
     self.outcome
   }
 }
--- a/tests/holder/mod.rs
+++ b/tests/holder/mod.rs
@@ -16,8 +16,8 @@
   sync::Arc,
 };
 
-pub const MEMORY: u64 = 230;
-pub const MODEL: u64 = 70;
+pub const MEMORY_MB: u64 = 230;
+pub const MODEL_MB: u64 = 70;
 
 /// Servers that execute orders, and the plan that sends the orders.
 pub struct World {
@@ -29,21 +29,21 @@
   pub waiting: Vec<(String, u32)>,
   pub running: Vec<(String, String, u32)>,
   pub orders: Vec<Command>,
-  pub asked: u32,
+  pub query_count: u32,
   /// Whether adapters are in use; such adapters are unloaded only once their requests have ended.
   pub adapters_in_use: bool,
   /// Servers and models that requests did not find there.
   pub missing: Vec<(String, String)>,
   /// Servers that requested a backoff.
-  pub resting: Vec<String>,
+  pub backing_off: Vec<String>,
   /// Load samples of servers, as observed by requests.
   pub strain: Vec<Sample>,
   /// Result of all further orders, which are then not executed; `None` to execute them.
-  pub fate: Option<Taken>,
+  pub order_result: Option<Taken>,
   /// Servers whose processes have terminated.
   pub ended: BTreeSet<String>,
   /// Servers whose responses have not arrived yet.
-  pub unheard: BTreeSet<String>,
+  pub unresponsive: BTreeSet<String>,
 }
 
 pub struct Server {
@@ -56,7 +56,7 @@
 
 pub fn engine(models: &[&str]) -> Engine {
   let checkpoint = Checkpoint {
-    memory_mb: MODEL,
+    memory_mb: MODEL_MB,
     warm_ms: 400,
     disk_ms: 800,
     remote_ms: 6_000,
@@ -66,7 +66,7 @@
   Engine {
     slots: 64,
     kv_tokens: 100_000,
-    memory_mb: MEMORY,
+    memory_mb: MEMORY_MB,
     adapter_slots: 2,
     loads_per_s: 3.0,
     models: models
@@ -77,7 +77,7 @@
 }
 
 impl World {
-  pub fn open(models: &[&str], servers: &[(&str, &[&str], &[&str])]) -> Self {
+  pub fn new(models: &[&str], servers: &[(&str, &[&str], &[&str])]) -> Self {
     let mut plan = Plan::new("10.0.0.1", 0, 5_000, 1.0);
     let pool = Pool {
       engine: Some(Arc::new(engine(models))),
@@ -128,19 +128,19 @@
       waiting: Vec::new(),
       running: Vec::new(),
       orders: Vec::new(),
-      asked: 0,
+      query_count: 0,
       adapters_in_use: false,
       missing: Vec::new(),
-      resting: Vec::new(),
+      backing_off: Vec::new(),
       strain: Vec::new(),
-      fate: None,
+      order_result: None,
       ended: BTreeSet::new(),
-      unheard: BTreeSet::new(),
+      unresponsive: BTreeSet::new(),
     }
   }
 
   /// Lists these servers, and no others, in the store.
-  pub fn list(&mut self, ids: &[&str]) {
+  pub fn list_servers(&mut self, ids: &[&str]) {
     let deployment = self.deployment.clone();
     let listed = self.servers.iter_mut();
     let listed = listed.filter(|(id, _)| ids.contains(&id.as_str()));
@@ -179,7 +179,7 @@
         .collect(),
       known: Vec::new(),
       behind: false,
-      resting: self.resting.iter().map(|id| self.life(id)).collect(),
+      resting: self.backing_off.iter().map(|id| self.life(id)).collect(),
       strain: self.strain.clone(),
     };
     let address = "127.0.0.1:1".parse().unwrap();
@@ -195,7 +195,7 @@
       for effect in self.plan.step(self.now) {
         match effect {
           Effect::Order(command) => self.order(command),
-          Effect::Query { id, .. } => self.ask(&id),
+          Effect::Query { id, .. } => self.respond_to_query(&id),
           Effect::Publish(_) | Effect::Log { .. } => {}
         }
       }
@@ -204,7 +204,7 @@
 
   pub fn order(&mut self, command: Command) {
     self.orders.push(command.clone());
-    let taken = match self.fate {
+    let taken = match self.order_result {
       Some(fate) => fate,
       None => self.carry_out(&command),
     };
@@ -231,8 +231,12 @@
         return Taken::Done;
       }
       (Act::Load, None) => {
-        let used = server.held.len() as u64 * MODEL;
-        assert!(used + MODEL <= MEMORY, "{} is overcommitted", command.id);
+        let used = server.held.len() as u64 * MODEL_MB;
+        assert!(
+          used + MODEL_MB <= MEMORY_MB,
+          "{} is overcommitted",
+          command.id
+        );
         let is_on_disk = server.spec.on_disk.contains(&name);
         server.busy_until = now + if is_on_disk { 800 } else { 6_000 };
         server.loading = Some(name);
@@ -247,10 +251,10 @@
     Taken::Accepted
   }
 
-  pub fn ask(&mut self, id: &str) {
-    self.asked += 1;
+  pub fn respond_to_query(&mut self, id: &str) {
+    self.query_count += 1;
     let now = self.now;
-    if self.unheard.contains(id) {
+    if self.unresponsive.contains(id) {
       return;
     }
     if self.ended.contains(id) {
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -15,7 +15,7 @@
   route::{Repeat, Stream},
   verdict::Verdict,
 };
-use fleet_limit::{Outcome, Story, WINDOW_MS, play};
+use fleet_limit::{Outcome, Scenario, WINDOW_MS, simulate};
 use quickcheck::quickcheck;
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use requests::refused;
@@ -26,17 +26,17 @@
 const REFUSED_MS: u64 = 200;
 
 /// Three servers, one of which needs help from 4 s on.
-fn story(seed: u64, instances: usize, rate: f64) -> Story {
-  Story {
+fn story(seed: u64, instances: usize, rate: f64) -> Scenario {
+  Scenario {
     seed,
     instances,
     servers: 3,
     load: 60.0,
-    named: vec![(4_000, Some(rate))],
+    announced: vec![(4_000, Some(rate))],
     restart: None,
-    herd: None,
-    cut: None,
-    frozen: None,
+    kill: None,
+    partitioned: None,
+    suspended: None,
     declined: 0.0,
     broken: 0.0,
     loss: 0.01,
@@ -44,49 +44,49 @@
   }
 }
 
-fn stories(instances: usize, rate: f64) -> Vec<(&'static str, Story)> {
+fn stories(instances: usize, rate: f64) -> Vec<(&'static str, Scenario)> {
   let story = |seed| story(seed, instances, rate);
   let half = instances / 2;
   vec![
     ("quiet", story(1)),
     (
       "the holder dies",
-      Story {
-        herd: Some((1, 9_000, true)),
+      Scenario {
+        kill: Some((1, 9_000, true)),
         ..story(2)
       },
     ),
     (
       "half of all and the holder die",
-      Story {
-        herd: Some((half, 9_000, true)),
+      Scenario {
+        kill: Some((half, 9_000, true)),
         ..story(3)
       },
     ),
     (
       "half of all start again",
-      Story {
-        herd: Some((half, 9_000, false)),
+      Scenario {
+        kill: Some((half, 9_000, false)),
         ..story(4)
       },
     ),
     (
       "three are cut off",
-      Story {
-        cut: Some((3, 3_000, 12_000)),
+      Scenario {
+        partitioned: Some((3, 3_000, 12_000)),
         ..story(5)
       },
     ),
     (
       "three stand still",
-      Story {
-        frozen: Some((3, 7_000, 11_000)),
+      Scenario {
+        suspended: Some((3, 7_000, 11_000)),
         ..story(6)
       },
     ),
     (
       "declined, broken off and repeated",
-      Story {
+      Scenario {
         declined: 0.3,
         broken: 0.2,
         ..story(7)
@@ -94,35 +94,35 @@
     ),
     (
       "datagrams are lost",
-      Story {
+      Scenario {
         loss: 0.15,
         ..story(8)
       },
     ),
     (
       "the server starts again",
-      Story {
+      Scenario {
         restart: Some(10_000),
         ..story(9)
       },
     ),
     (
       "it stops saying so and begins again",
-      Story {
-        named: vec![(4_000, Some(rate)), (9_000, None), (13_000, Some(rate))],
+      Scenario {
+        announced: vec![(4_000, Some(rate)), (9_000, None), (13_000, Some(rate))],
         ..story(10)
       },
     ),
     (
       "the limit changes",
-      Story {
-        named: vec![(4_000, Some(rate)), (9_000, Some(rate / 2.0))],
+      Scenario {
+        announced: vec![(4_000, Some(rate)), (9_000, Some(rate / 2.0))],
         ..story(11)
       },
     ),
     (
       "all servers but it are gone",
-      Story {
+      Scenario {
         servers: 1,
         ..story(12)
       },
@@ -132,7 +132,7 @@
 
 fn kept(name: &str, outcome: &Outcome) {
   println!("{name}: {outcome:?}");
-  assert!(outcome.beyond <= 0.0, "{name}: {outcome:?}");
+  assert!(outcome.excess <= 0.0, "{name}: {outcome:?}");
   assert!(
     outcome.slowest_refusal_ms <= REFUSED_MS,
     "{name}: {outcome:?}"
@@ -143,7 +143,7 @@
 fn a_limit_holds_at_seven_instances() {
   for rate in [1.0, 2.3, 0.3, 8.0] {
     for (name, story) in stories(7, rate) {
-      kept(&format!("{name}, {rate} a second"), &play(&story));
+      kept(&format!("{name}, {rate} a second"), &simulate(&story));
     }
   }
 }
@@ -153,7 +153,7 @@
   for (name, story) in stories(295, 1.0) {
     kept(
       name,
-      &play(&Story {
+      &simulate(&Scenario {
         load: 600.0,
         ..story
       }),
@@ -165,14 +165,14 @@
 fn what_a_lone_server_takes_is_used_and_the_rest_is_refused_at_once() {
   for (instances, load) in [(7, 60.0), (295, 600.0)] {
     for rate in [1.0, 2.3] {
-      let alone = Story {
+      let alone = Scenario {
         servers: 1,
         load,
         ..story(20, instances, rate)
       };
-      let outcome = play(&alone);
+      let outcome = simulate(&alone);
       println!("{instances} instances, {rate} a second: {outcome:?}");
-      let used = outcome.got as f64 / outcome.allowed;
+      let used = outcome.received as f64 / outcome.allowed;
       assert!(
         used > 0.6,
         "{instances}, {rate}: {used:.2} of the limit is used"
@@ -185,7 +185,7 @@
 #[test]
 fn where_others_have_room_nothing_is_refused() {
   for instances in [7, 295] {
-    let outcome = play(&story(30, instances, 1.0));
+    let outcome = simulate(&story(30, instances, 1.0));
     assert_eq!(outcome.refused, 0, "{instances}: {outcome:?}");
   }
 }
@@ -193,25 +193,25 @@
 #[test]
 fn a_server_that_names_no_limit_any_more_gets_its_share_again() {
   for (instances, load) in [(7, 60.0), (295, 600.0)] {
-    let ends = Story {
+    let ends = Scenario {
       load,
-      named: vec![(4_000, Some(1.0)), (9_000, None)],
+      announced: vec![(4_000, Some(1.0)), (9_000, None)],
       ..story(40, instances, 1.0)
     };
-    let outcome = play(&ends);
+    let outcome = simulate(&ends);
     let share = load / 3.0;
     assert!(
-      outcome.at_last as f64 > share / 2.0,
+      outcome.received_in_last_second as f64 > share / 2.0,
       "{instances}: {outcome:?}"
     );
   }
 }
 
 /// Histories of deaths, suspensions, partitions, restarts and lost datagrams, all drawn.
-fn drawn(rng: &mut SmallRng) -> Story {
+fn drawn(rng: &mut SmallRng) -> Scenario {
   let rate = [0.5, 1.0, 2.3, 5.0][rng.random_range(0..4)];
   let at = rng.random_range(4_500..12_000);
-  let mut story = Story {
+  let mut story = Scenario {
     instances: rng.random_range(2..30),
     servers: rng.random_range(1..4),
     load: rng.random_range(10.0..120.0),
@@ -223,20 +223,20 @@
   let some = rng.random_range(1..=story.instances.div_ceil(2));
   let what: u32 = rng.random();
   if what & 1 > 0 {
-    story.herd = Some((some, at, what & 2 > 0));
+    story.kill = Some((some, at, what & 2 > 0));
   }
   if what & 4 > 0 {
-    story.cut = Some((some, at, at + 4_000));
+    story.partitioned = Some((some, at, at + 4_000));
   }
   if what & 8 > 0 {
-    story.frozen = Some((some, at, at + 3_000));
+    story.suspended = Some((some, at, at + 3_000));
   }
   if what & 16 > 0 {
     story.restart = Some(at + 1_500);
   }
   if what & 32 > 0 {
-    story.named.push((at, None));
-    story.named.push((at + 2_000, Some(rate)));
+    story.announced.push((at, None));
+    story.announced.push((at + 2_000, Some(rate)));
   }
   story
 }
@@ -246,8 +246,8 @@
   let mut rng = SmallRng::seed_from_u64(4_000);
   for number in 0..150 {
     let story = drawn(&mut rng);
-    let outcome = play(&story);
-    assert!(outcome.beyond <= 0.0, "{number}: {outcome:?} of {story:?}");
+    let outcome = simulate(&story);
+    assert!(outcome.excess <= 0.0, "{number}: {outcome:?} of {story:?}");
   }
 }
 
--- a/tests/lives.rs
+++ b/tests/lives.rs
@@ -25,9 +25,9 @@
 
 /// A holder and a server in its first life that holds `a` and has `d` on its disk.
 fn world() -> World {
-  let mut world = World::open(&["a", "d"], &[("one", &["a"], &["d"])]);
+  let mut world = World::new(&["a", "d"], &[("one", &["a"], &["d"])]);
   world.servers.get_mut("one").unwrap().spec.born = FIRST;
-  world.list(&["one"]);
+  world.list_servers(&["one"]);
   world.run(500);
   world
 }
@@ -40,7 +40,7 @@
     for effect in world.plan.step(world.now) {
       match effect {
         Planned::Order(command) => return command,
-        Planned::Query { id, .. } => world.ask(&id),
+        Planned::Query { id, .. } => world.respond_to_query(&id),
         Planned::Publish(_) | Planned::Log { .. } => {}
       }
     }
@@ -82,7 +82,7 @@
   world.waiting = vec![("d".into(), 1)];
   let order = next_order(&mut world);
   world.restart("one", SECOND);
-  world.list(&["one"]);
+  world.list_servers(&["one"]);
   world
     .plan
     .record_order_result(world.now, &order, Taken::Accepted);
@@ -118,7 +118,7 @@
 fn a_late_report_of_the_earlier_life_changes_nothing() {
   let mut world = world();
   world.restart("one", SECOND);
-  world.list(&["one"]);
+  world.list_servers(&["one"]);
   world.run(500);
   let late = inventory(FIRST, &["a"], 5);
   world.plan.receive_inventory(world.now, "one", Ok(late));
@@ -132,12 +132,12 @@
 fn a_birth_that_goes_backwards_changes_nothing_of_a_plan() {
   let mut world = world();
   world.restart("one", SECOND);
-  world.list(&["one"]);
+  world.list_servers(&["one"]);
   world.waiting = vec![("d".into(), 1)];
   world.run(2_000);
   let orders = world.orders.len();
   world.servers.get_mut("one").unwrap().spec.born = FIRST;
-  world.list(&["one"]);
+  world.list_servers(&["one"]);
   world.servers.get_mut("one").unwrap().spec.born = SECOND;
   world.run(1_000);
   assert_eq!(world.orders.len(), orders, "{:?}", world.orders);
@@ -146,15 +146,15 @@
 
 #[test]
 fn requests_of_the_earlier_life_keep_no_model_of_the_later_one() {
-  let mut world = World::open(
+  let mut world = World::new(
     &["a", "b", "c", "d"],
     &[("one", &["a", "b", "c"], &["a", "d"])],
   );
   world.servers.get_mut("one").unwrap().spec.born = FIRST;
-  world.list(&["one"]);
+  world.list_servers(&["one"]);
   world.run(500);
   world.servers.get_mut("one").unwrap().spec.born = SECOND;
-  world.list(&["one"]);
+  world.list_servers(&["one"]);
   // The instance that reports has not heard of the later life yet.
   let late = world.life("one");
   world.servers.get_mut("one").unwrap().spec.born = FIRST;
@@ -177,7 +177,7 @@
   let order = next_order(&mut world);
   world.plan.start_term(world.now, 2);
   world.restart("one", SECOND);
-  world.list(&["one"]);
+  world.list_servers(&["one"]);
   world
     .plan
     .record_order_result(world.now, &order, Taken::Accepted);
--- a/tests/plan.rs
+++ b/tests/plan.rs
@@ -14,7 +14,7 @@
 
 #[test]
 fn a_wanted_model_goes_where_a_copy_is_and_something_idle_gives_way() {
-  let mut world = World::open(
+  let mut world = World::new(
     &["a", "b", "c", "d"],
     &[
       ("one", &["a", "b", "c"], &[]),
@@ -32,7 +32,7 @@
 
 #[test]
 fn orders_carry_the_term_and_the_count_of_orders() {
-  let mut world = World::open(&["a", "d"], &[("one", &["a"], &["d"])]);
+  let mut world = World::new(&["a", "d"], &[("one", &["a"], &["d"])]);
   world.waiting = vec![("d".into(), 1)];
   world.run(1_000);
   assert!(!world.orders.is_empty());
@@ -43,17 +43,17 @@
 
 #[test]
 fn nothing_is_ordered_before_the_server_was_asked() {
-  let mut world = World::open(&["a", "d"], &[("one", &["a"], &["d"])]);
+  let mut world = World::new(&["a", "d"], &[("one", &["a"], &["d"])]);
   world.servers.get_mut("one").unwrap().orders = 7;
   world.waiting = vec![("d".into(), 1)];
   world.run(1_000);
-  assert!(world.asked > 0);
+  assert!(world.query_count > 0);
   assert_eq!(world.orders[0].orders, 7);
 }
 
 #[test]
 fn the_weight_store_is_used_only_without_a_copy() {
-  let mut world = World::open(
+  let mut world = World::new(
     &["a", "d", "e"],
     &[("one", &["a"], &[]), ("two", &["a"], &["d"])],
   );
@@ -66,7 +66,7 @@
 
 #[test]
 fn a_model_waits_for_the_server_with_its_copy_rather_than_for_the_weight_store() {
-  let mut world = World::open(
+  let mut world = World::new(
     &["a", "d", "e"],
     &[("one", &[], &[]), ("two", &[], &["d", "e"])],
   );
@@ -86,7 +86,7 @@
     .iter()
     .map(|id| (id.as_str(), &[][..], &[][..]))
     .collect();
-  let mut world = World::open(&names, &servers);
+  let mut world = World::new(&names, &servers);
   world.waiting = names.iter().map(|name| (name.to_string(), 1)).collect();
   world.run(2_000);
   assert_eq!(world.loads().len(), 4, "{:?}", world.loads());
@@ -94,32 +94,32 @@
 
 #[test]
 fn an_order_without_answer_is_not_repeated_blindly() {
-  let mut world = World::open(&["a", "d"], &[("one", &["a"], &["d"])]);
+  let mut world = World::new(&["a", "d"], &[("one", &["a"], &["d"])]);
   world.run(100);
-  world.fate = Some(Taken::Unknown);
+  world.order_result = Some(Taken::Unknown);
   world.waiting = vec![("d".into(), 1)];
   world.run(300);
   assert_eq!(world.orders.len(), 1);
-  let asked = world.asked;
+  let asked = world.query_count;
   // It was taken all the same.
-  world.fate = None;
+  world.order_result = None;
   let order = world.orders[0].clone();
   world.carry_out(&order);
   world.run(3_000);
-  assert!(world.asked > asked, "the server is asked first");
+  assert!(world.query_count > asked, "the server is asked first");
   assert_eq!(world.loads().len(), 1, "{:?}", world.orders);
   assert!(world.holds("one", "d"));
 }
 
 #[test]
 fn an_order_that_is_carried_out_late_finds_another_count() {
-  let mut world = World::open(&["a", "d"], &[("one", &["a"], &["d"])]);
+  let mut world = World::new(&["a", "d"], &[("one", &["a"], &["d"])]);
   world.run(100);
-  world.fate = Some(Taken::Unknown);
+  world.order_result = Some(Taken::Unknown);
   world.waiting = vec![("d".into(), 1)];
   world.run(100);
   let late = world.orders[0].clone();
-  world.fate = None;
+  world.order_result = None;
   world.run(3_000);
   assert!(world.holds("one", "d"), "it was ordered again");
   assert_eq!(world.carry_out(&late), Taken::Conflict);
@@ -127,21 +127,21 @@
 
 #[test]
 fn an_order_carried_out_late_takes_the_room_of_the_next_load() {
-  let mut world = World::open(&["a", "b", "d", "e"], &[("one", &["a", "b"], &["d", "e"])]);
+  let mut world = World::new(&["a", "b", "d", "e"], &[("one", &["a", "b"], &["d", "e"])]);
   world.running = vec![("one".into(), "a".into(), 1), ("one".into(), "b".into(), 1)];
   world.run(100);
-  world.fate = Some(Taken::Unknown);
+  world.order_result = Some(Taken::Unknown);
   world.waiting = vec![("d".into(), 1)];
   world.run(100);
   let late = world.orders.iter().find(|order| order.model.name == "d");
   let late = late.unwrap().clone();
   // The server is asked before the order is carried out: there is room for another.
-  world.fate = Some(Taken::Conflict);
+  world.order_result = Some(Taken::Conflict);
   world.waiting = vec![("e".into(), 1)];
   while world.loads().len() < 2 {
     world.run(10);
   }
-  world.fate = None;
+  world.order_result = None;
   assert_eq!(world.carry_out(&late), Taken::Accepted);
   world.servers.get_mut("one").unwrap().busy_until = world.now + 300;
   // The world panics where more is ordered than there is memory for.
@@ -154,7 +154,7 @@
 
 #[test]
 fn a_model_that_requests_do_not_find_is_loaded_again() {
-  let mut world = World::open(&["a", "d"], &[("one", &["a"], &["a", "d"])]);
+  let mut world = World::new(&["a", "d"], &[("one", &["a"], &["a", "d"])]);
   world.run(1_500);
   // An unload that was given up is carried out late.
   let server = world.servers.get_mut("one").unwrap();
@@ -173,7 +173,7 @@
 
 #[test]
 fn adapters_of_a_model_in_use_are_loaded_within_the_places() {
-  let mut world = World::open(&["a"], &[("one", &["a"], &[]), ("two", &["a"], &[])]);
+  let mut world = World::new(&["a"], &[("one", &["a"], &[]), ("two", &["a"], &[])]);
   world.running = vec![("one".into(), "a".into(), 2)];
   world.run(3_000);
   let held: BTreeSet<String> = world
@@ -186,7 +186,7 @@
 
 #[test]
 fn an_adapter_that_is_waited_for_takes_the_place_of_an_idle_one() {
-  let mut world = World::open(&["a"], &[("one", &["a"], &[])]);
+  let mut world = World::new(&["a"], &[("one", &["a"], &[])]);
   world.waiting = vec![("a/a1".into(), 1)];
   world.run(500);
   world.waiting = vec![("a/a2".into(), 1)];
@@ -199,7 +199,7 @@
 
 #[test]
 fn an_adapter_in_use_keeps_its_place_until_the_server_says_otherwise() {
-  let mut world = World::open(&["a"], &[("one", &["a"], &[])]);
+  let mut world = World::new(&["a"], &[("one", &["a"], &[])]);
   world.waiting = vec![("a/a1".into(), 1)];
   world.run(300);
   world.waiting = vec![("a/a2".into(), 1)];
@@ -216,7 +216,7 @@
 
 #[test]
 fn a_server_that_comes_empty_gets_a_replica_of_what_is_used_most() {
-  let mut world = World::open(&["a", "b"], &[("one", &["a", "b"], &[]), ("two", &[], &[])]);
+  let mut world = World::new(&["a", "b"], &[("one", &["a", "b"], &[]), ("two", &[], &[])]);
   world.running = vec![("one".into(), "a".into(), 8)];
   world.run(9_000);
   assert_eq!(world.loads()[0], ("two".to_string(), "a".to_string()));
@@ -224,18 +224,18 @@
 
 #[test]
 fn a_new_term_asks_again() {
-  let mut world = World::open(&["a"], &[("one", &["a"], &[])]);
+  let mut world = World::new(&["a"], &[("one", &["a"], &[])]);
   world.run(200);
-  let asked = world.asked;
+  let asked = world.query_count;
   world.plan.start_term(world.now, 2);
   world.run(200);
-  assert!(world.asked > asked);
+  assert!(world.query_count > asked);
 }
 
 #[test]
 fn policies_bound_replicas_and_choose_servers() {
   let models = ["a", "d"];
-  let mut world = World::open(&models, &[("one", &["a"], &["d"]), ("two", &["a"], &["d"])]);
+  let mut world = World::new(&models, &[("one", &["a"], &["d"]), ("two", &["a"], &["d"])]);
   let policy = |text: &str| serde_json::from_str(text).unwrap();
   let only_two = r#"{ "models": { "matchLabels": { "model": "d" } },
     "servers": { "matchLabels": { "server": "two" } } }"#;
@@ -258,7 +258,7 @@
   let held: &[&str] = &["a"];
   let servers: Vec<(&str, &[&str], &[&str])> =
     ids.iter().map(|id| (id.as_str(), held, &[][..])).collect();
-  let mut world = World::open(&["a"], &servers);
+  let mut world = World::new(&["a"], &servers);
   world.run(1_000);
   let mut told = BTreeSet::new();
   for _ in 0..20 {
@@ -304,7 +304,7 @@
 #[test]
 fn a_model_whose_servers_are_too_slow_gets_a_replica() {
   for (slowness, expected) in [(0.9, true), (0.1, false)] {
-    let mut world = World::open(
+    let mut world = World::new(
       &["a", "b", "c", "d"],
       &[("one", &["a"], &[]), ("two", &["b", "c"], &["a", "d"])],
     );
@@ -321,7 +321,7 @@
 
 #[test]
 fn without_the_lease_nothing_is_ordered_and_what_was_ordered_is_told() {
-  let mut world = World::open(&["a", "d", "e"], &[("one", &["a"], &["d", "e"])]);
+  let mut world = World::new(&["a", "d", "e"], &[("one", &["a"], &["d", "e"])]);
   world.waiting = vec![("d".into(), 1)];
   world.run(400);
   assert_eq!(world.loads(), [("one".to_string(), "d".to_string())]);
@@ -334,7 +334,7 @@
     for effect in world.plan.step(world.now) {
       match effect {
         Effect::Order(command) => panic!("ordered {command:?}"),
-        Effect::Query { id, .. } => world.ask(&id),
+        Effect::Query { id, .. } => world.respond_to_query(&id),
         Effect::Publish(update) => {
           let held = update.holdings.iter();
           told |= held
@@ -354,7 +354,7 @@
 #[test]
 fn an_order_that_is_due_does_not_go_out_without_the_lease() {
   let full: &[&str] = &["a", "b", "c"];
-  let mut world = World::open(&["a", "b", "c", "d"], &[("one", full, &["d"])]);
+  let mut world = World::new(&["a", "b", "c", "d"], &[("one", full, &["d"])]);
   world.run(600);
   world.waiting = vec![("d".into(), 1)];
   let mut planned = false;
@@ -377,7 +377,7 @@
 fn a_burst_has_several_loads_at_once() {
   let full: &[&str] = &["a", "b", "c"];
   let loads = |waiting: u32| {
-    let mut world = World::open(
+    let mut world = World::new(
       &["a", "b", "c", "d"],
       &[("one", full, &["d"]), ("two", full, &["d"])],
     );
@@ -392,7 +392,7 @@
 
 #[test]
 fn a_model_in_heavy_use_has_two_replicas() {
-  let mut world = World::open(
+  let mut world = World::new(
     &["a", "b", "c", "e"],
     &[("one", &["a"], &[]), ("two", &["b", "c", "e"], &["a"])],
   );
@@ -405,7 +405,7 @@
 
 #[test]
 fn a_model_that_becomes_the_most_used_soon_has_two_replicas() {
-  let mut world = World::open(
+  let mut world = World::new(
     &["a", "b", "c", "e"],
     &[("one", &["a"], &[]), ("two", &["b", "c", "e"], &["a"])],
   );
@@ -430,7 +430,7 @@
 
 #[test]
 fn a_bound_counts_loads_that_are_under_way() {
-  let mut world = World::open(
+  let mut world = World::new(
     &["a", "d"],
     &[
       ("one", &["a"], &["d"]),
@@ -450,7 +450,7 @@
 /// Four servers, two of which hold `d`, which two may hold; their entries go without a word
 /// and come back later.
 fn bounded_world() -> World {
-  let mut world = World::open(
+  let mut world = World::new(
     &["a", "d"],
     &[
       ("one", &["a"], &["d"]),
@@ -470,11 +470,11 @@
 #[test]
 fn a_server_whose_entry_may_come_back_counts_for_the_bound() {
   let mut world = bounded_world();
-  world.list(&[]);
+  world.list_servers(&[]);
   world.run(800);
-  world.list(&["one", "two"]);
+  world.list_servers(&["one", "two"]);
   assert_eq!(most_of_d(&mut world, 200), 2);
-  world.list(&["one", "two", "three", "four"]);
+  world.list_servers(&["one", "two", "three", "four"]);
   assert_eq!(most_of_d(&mut world, 3_000), 2);
 }
 
@@ -482,7 +482,7 @@
 fn a_server_that_does_not_answer_after_its_entry_has_gone_does_not_count() {
   let mut world = bounded_world();
   world.ended = ["three", "four"].map(String::from).into();
-  world.list(&["one", "two"]);
+  world.list_servers(&["one", "two"]);
   world.run(300);
   assert!(!world.loads().is_empty(), "d is loaded again at once");
 }
@@ -490,7 +490,7 @@
 #[test]
 fn a_server_whose_entry_does_not_come_back_counts_no_longer() {
   let mut world = bounded_world();
-  world.list(&["one", "two"]);
+  world.list_servers(&["one", "two"]);
   world.run(1_900);
   assert!(world.loads().is_empty(), "{:?}", world.loads());
   world.run(600);
@@ -506,9 +506,9 @@
     world.run(10);
   }
   // The entry states what is held, not what is being loaded.
-  world.list(&[]);
+  world.list_servers(&[]);
   world.run(100);
-  world.list(&["one", "two", "three", "four"]);
+  world.list_servers(&["one", "two", "three", "four"]);
   assert_eq!(most_of_d(&mut world, 3_000), 2);
 }
 
@@ -528,7 +528,7 @@
   world
     .plan
     .update_servers(world.deployment.clone(), specs.collect());
-  world.unheard = ["three", "four"].map(String::from).into();
+  world.unresponsive = ["three", "four"].map(String::from).into();
   world
 }
 
@@ -559,7 +559,7 @@
 fn a_server_that_was_not_heard_counts_when_its_entry_goes() {
   let mut world = taken_over();
   world.run(100);
-  world.list(&["one", "two"]);
+  world.list_servers(&["one", "two"]);
   world.run(1_800);
   assert!(world.loads().is_empty(), "{:?}", world.loads());
   world.run(700);
@@ -569,8 +569,8 @@
 #[test]
 fn a_server_without_an_entry_counts_while_it_only_leaves_questions_unanswered() {
   let mut world = bounded_world();
-  world.unheard = ["three", "four"].map(String::from).into();
-  world.list(&["one", "two"]);
+  world.unresponsive = ["three", "four"].map(String::from).into();
+  world.list_servers(&["one", "two"]);
   for _ in 0..4 {
     world.run(300);
     for id in ["three", "four"] {
@@ -590,7 +590,7 @@
 #[test]
 fn a_server_that_loads_something_unknown_counts_for_the_bound() {
   let mut world = bounded_world();
-  world.unheard = ["three", "four"].map(String::from).into();
+  world.unresponsive = ["three", "four"].map(String::from).into();
   for id in ["three", "four"] {
     let server = &world.servers[id];
     let busy = Inventory {
@@ -618,7 +618,7 @@
 #[test]
 fn a_model_is_unloaded_only_after_instances_heard_that_it_leaves() {
   for pause in [10, 100, 400] {
-    let mut world = World::open(&["a", "b", "c", "d"], &[("one", &["a", "b", "c"], &["d"])]);
+    let mut world = World::new(&["a", "b", "c", "d"], &[("one", &["a", "b", "c"], &["d"])]);
     world.run(1_000);
     world.plan.set_publish_interval(pause);
     world.plan.request_publish();
@@ -660,7 +660,7 @@
 /// whatever waited, the queue to 295 instances came to seconds, and loads were known 7 s late.
 #[test]
 fn nothing_is_published_before_the_last_publication_has_gone_out() {
-  let mut world = World::open(&["a", "d"], &[("one", &["a"], &["d"])]);
+  let mut world = World::new(&["a", "d"], &[("one", &["a"], &["d"])]);
   world.run(1_000);
   let mut published = Vec::new();
   world.waiting = vec![("d".into(), 1)];
@@ -672,7 +672,7 @@
       match effect {
         Effect::Publish(_) => published.push(world.now),
         Effect::Order(command) => world.order(command),
-        Effect::Query { id, .. } => world.ask(&id),
+        Effect::Query { id, .. } => world.respond_to_query(&id),
         Effect::Log { .. } => {}
       }
     }
@@ -692,7 +692,7 @@
     ("needy", &["a", "d"], &["a", "d", "e"]),
     ("sound", &["a"], &["d", "e"]),
   ];
-  let mut world = World::open(&["a", "d", "e"], servers);
+  let mut world = World::new(&["a", "d", "e"], servers);
   world.waiting = vec![("d".into(), 1)];
   world.run(300);
   assert!(world.orders.is_empty(), "its server takes what waits");
@@ -708,7 +708,7 @@
 
 #[test]
 fn a_server_in_need_takes_a_load_that_no_other_can_take() {
-  let mut world = World::open(&["a", "d"], &[("needy", &["a"], &["d"])]);
+  let mut world = World::new(&["a", "d"], &[("needy", &["a"], &["d"])]);
   let needy = world.servers["needy"].spec.life();
   world.plan.update_limited(&BTreeSet::from([needy]));
   world.waiting = vec![("d".into(), 1)];
@@ -720,7 +720,7 @@
 fn a_load_that_was_decided_is_not_ordered_of_a_server_that_leaves() {
   let full: &[&str] = &["a", "b", "c"];
   let servers: &[(&str, &[&str], &[&str])] = &[("one", full, &["d"]), ("two", full, &[])];
-  let mut world = World::open(&["a", "b", "c", "d"], servers);
+  let mut world = World::new(&["a", "b", "c", "d"], servers);
   world.run(600);
   world.waiting = vec![("d".into(), 1)];
   let mut planned = false;
@@ -732,7 +732,7 @@
     planned = effects.iter().any(load);
   }
   world.servers.get_mut("one").unwrap().spec.stage = Stage::Draining;
-  world.list(&["one", "two"]);
+  world.list_servers(&["one", "two"]);
   world.run(3_000);
   assert_eq!(world.loads(), [("two".to_string(), "d".to_string())]);
   assert!(
@@ -746,11 +746,11 @@
 fn what_waits_for_a_model_of_a_server_that_rests_has_it_loaded_elsewhere() {
   let servers: &[(&str, &[&str], &[&str])] =
     &[("tired", &["a", "d"], &[]), ("sound", &["a"], &["d"])];
-  let mut world = World::open(&["a", "d"], servers);
+  let mut world = World::new(&["a", "d"], servers);
   world.waiting = vec![("d".into(), 1)];
   world.run(300);
   assert!(world.orders.is_empty(), "its server takes what waits");
-  world.resting = vec!["tired".into()];
+  world.backing_off = vec!["tired".into()];
   world.run(1_500);
   assert_eq!(world.loads(), [("sound".to_string(), "d".to_string())]);
 }
