--- a/tests/batch.rs
+++ b/tests/batch.rs
@@ -27,20 +27,26 @@
     .model("archive", 200)
 }
 
-fn submit(fleet: &Fleet, at: usize, key: &str, items: usize, window_ms: u64) -> caller::Answer {
+fn submit(
+  fleet: &Fleet,
+  instance: usize,
+  key: &str,
+  items: usize,
+  window_ms: u64,
+) -> caller::Answer {
   let prompts: Vec<_> = (0..items).map(|item| format!("page {item}")).collect();
   let body = json!({ "model": "archive", "prompts": prompts, "max_tokens": 5,
     "completion_window_ms": window_ms });
   caller::call(
-    fleet.callers(at),
+    fleet.callers(instance),
     "/v1/batches",
     Some(key),
     &body.to_string(),
   )
 }
 
-fn poll(fleet: &Fleet, at: usize, id: &str) -> Value {
-  caller::get(fleet.callers(at), &format!("/v1/batches/{id}")).body
+fn poll(fleet: &Fleet, instance: usize, id: &str) -> Value {
+  caller::get(fleet.callers(instance), &format!("/v1/batches/{id}")).body
 }
 
 fn accepted_id(reply: &caller::Answer) -> String {
--- a/tests/contact.rs
+++ b/tests/contact.rs
@@ -35,7 +35,7 @@
 
 // The store refused the lease holder for 3.9 s and answered the other instances throughout.
 #[test]
-fn an_answer_to_another_instance_parts_a_silence() {
+fn an_answer_to_another_instance_splits_an_outage() {
   let (reachability, start) = responded();
   for failed in [100, 900, 2_000, 3_000] {
     reachability.record_failure(start + ms(failed));
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn an_answer_to_another_instance_that_is_heard_of_late_parts_a_silence() {
+fn an_answer_to_another_instance_that_is_learned_of_late_splits_an_outage() {
   let (reachability, start) = responded();
   for failed in [100, 900, 2_000, 3_000] {
     reachability.record_failure(start + ms(failed));
--- a/tests/copies.rs
+++ b/tests/copies.rs
@@ -211,7 +211,7 @@
   fleet.add_server("i-next");
   // The other instances are not informed that a third server has crashed.
   fleet.run_until(SERVER_BACK_MS + RUN_MS + 3_000);
-  let others = fleet.sends.iter().filter(|(_, one, _)| *one != index);
+  let others = fleet.sends.iter().filter(|(_, sender, _)| *sender != index);
   assert_eq!(others.count(), 0, "{:?}", fleet.sends);
 }
 
@@ -229,7 +229,7 @@
 
 /// An instance fails while it runs a copy, without releasing its permit, which therefore expires.
 #[test]
-fn a_leave_whose_instance_died_counts_for_ten_seconds() {
+fn a_permit_whose_instance_died_expires_after_ten_seconds() {
   let mut fleet = Fleet::replay_incident();
   fleet.run_until(SERVER_BACK_MS + RUN_MS);
   let (_, failed, _) = fleet.sends[0];
@@ -244,7 +244,7 @@
 
 /// A new holder learns from the published sums of the previous one which permits are in use.
 #[test]
-fn a_new_holder_gives_no_leave_that_is_taken() {
+fn a_new_holder_grants_no_permit_that_is_in_use() {
   let mut fleet = Fleet::replay_incident();
   fleet.run_until(SERVER_BACK_MS + 50);
   assert_eq!(fleet.sends.len(), 1);
--- a/tests/customers.rs
+++ b/tests/customers.rs
@@ -150,14 +150,14 @@
 
 #[test]
 fn what_was_surely_not_run_is_given_back() {
-  let mut purse = Balances::new(1);
+  let mut quotas = Balances::new(1);
   let id = Id::for_customer("one");
   let grant = Grant {
     id,
     limit: 500,
     over_ms: 0,
   };
-  purse.receive_grants(1_010, 1_010, &[grant]);
+  quotas.receive_grants(1_010, 1_010, &[grant]);
   let allowance = Allowance {
     quota: Quota {
       rate: 100.0,
@@ -165,15 +165,15 @@
     },
     bound: fleet_quota::BOUND,
   };
-  let spend = |purse: &mut Balances, now| purse.acquire(now, (id, &allowance), 400, Some(0), 100);
-  assert_eq!(spend(&mut purse, 1_020), Decision::Granted);
-  assert!(matches!(spend(&mut purse, 1_030), Decision::Exceeded(_)));
-  purse.refund(id, 400);
-  assert_eq!(spend(&mut purse, 1_050), Decision::Granted);
-  assert_eq!(purse.usage(1_050, id), (400, 100));
+  let spend = |quotas: &mut Balances, now| quotas.acquire(now, (id, &allowance), 400, Some(0), 100);
+  assert_eq!(spend(&mut quotas, 1_020), Decision::Granted);
+  assert!(matches!(spend(&mut quotas, 1_030), Decision::Exceeded(_)));
+  quotas.refund(id, 400);
+  assert_eq!(spend(&mut quotas, 1_050), Decision::Granted);
+  assert_eq!(quotas.usage(1_050, id), (400, 100));
   // Its grant has expired.
-  purse.refund(id, 400);
-  assert_ne!(spend(&mut purse, 3_060), Decision::Granted);
+  quotas.refund(id, 400);
+  assert_ne!(spend(&mut quotas, 3_060), Decision::Granted);
 }
 
 #[test]
@@ -219,28 +219,28 @@
   vec![
     ("quiet", scenario(1)),
     (
-      "a large one 7.5 times its usual",
+      "a large customer at 7.5 times its usual rate",
       Scenario {
         hot_customer: hot_customer(0),
         ..scenario(2)
       },
     ),
     (
-      "a small one 7.5 times its usual",
+      "a small customer at 7.5 times its usual rate",
       Scenario {
         hot_customer: hot_customer(5),
         ..scenario(3)
       },
     ),
     (
-      "all callers of one move to one instance",
+      "all callers of one customer move to one instance",
       Scenario {
         pinned_customer: Some((1, 8_000)),
         ..scenario(4)
       },
     ),
     (
-      "half of all instances and the holder die",
+      "half of all instances and the holder fail",
       Scenario {
         kill: Some((0.5, 10_000, true)),
         hot_customer: hot_customer(0),
@@ -248,7 +248,7 @@
       },
     ),
     (
-      "one is cut off from all",
+      "one instance is partitioned from all others",
       Scenario {
         partitioned: Some((1, 8_000, 16_000)),
         hot_customer: hot_customer(1),
@@ -290,7 +290,7 @@
       let refused = outcome.refused as f64 / outcome.within.max(1) as f64;
       *sum += refused;
       println!(
-        "{name}: worst window {:.3}, refused within quota {refused:.4}, messages a second {}",
+        "{name}: worst window {:.3}, refused within quota {refused:.4}, messages per second {}",
         outcome.worst,
         outcome.messages * 1_000 / scenario.length_ms as usize
       );
@@ -300,7 +300,7 @@
 }
 
 /// A random scenario of failures, suspensions, partitions and late messages.
-fn random_scenario(seed: u64, what: u8, at: u16, count: u8) -> Scenario {
+fn random_scenario(seed: u64, faults: u8, at: u16, count: u8) -> Scenario {
   let at = 2_000 + u64::from(at) % 8_000;
   let span = Some((1 + usize::from(count) % 6, at, at + 4_000));
   let mut scenario = Scenario {
@@ -316,13 +316,13 @@
     length_ms: 16_000,
     ..scenario(seed)
   };
-  if what & 1 > 0 {
-    scenario.kill = Some((0.5, at, what & 2 > 0));
+  if faults & 1 > 0 {
+    scenario.kill = Some((0.5, at, faults & 2 > 0));
   }
-  if what & 4 > 0 {
+  if faults & 4 > 0 {
     scenario.partitioned = span;
   }
-  if what & 8 > 0 {
+  if faults & 8 > 0 {
     scenario.suspended = span;
   }
   scenario
@@ -345,12 +345,15 @@
 fn the_sum_over_any_window_stays_under_the_bound_in_any_history() {
   let mut rng = SmallRng::seed_from_u64(8_000);
   let random = (0..RANDOM_HISTORIES).map(|_| rng.random::<(u64, u8, u16, u8)>());
-  for (seed, what, at, count) in PAST_VIOLATIONS.into_iter().chain(random) {
+  for (seed, faults, at, count) in PAST_VIOLATIONS.into_iter().chain(random) {
     let worst = simulate(
-      &self::random_scenario(seed, what, at, count),
+      &self::random_scenario(seed, faults, at, count),
       Strategy::Requested,
     )
     .worst;
-    assert!(worst <= 1.0, "({seed}, {what}, {at}, {count}): {worst:.3}");
+    assert!(
+      worst <= 1.0,
+      "({seed}, {faults}, {at}, {count}): {worst:.3}"
+    );
   }
 }
--- a/tests/dispatch.rs
+++ b/tests/dispatch.rs
@@ -460,7 +460,7 @@
 }
 
 #[test]
-fn the_planners_word_counts_for_a_server_whose_entry_comes_after_it() {
+fn a_holdings_update_counts_for_a_server_whose_entry_comes_after_it() {
   let route = route(Repeat::Always, None, 2);
   for all in [false, true] {
     let mut state = state(Vec::new());
@@ -472,7 +472,7 @@
 }
 
 #[test]
-fn of_two_words_for_a_server_without_an_entry_the_newer_counts() {
+fn of_two_holdings_updates_for_a_server_without_an_entry_the_newer_counts() {
   let route = route(Repeat::Always, None, 2);
   let mut state = state(Vec::new());
   state.reduce(1, holdings_update("old", false));
--- a/tests/fleet_limit/mod.rs
+++ b/tests/fleet_limit/mod.rs
@@ -107,7 +107,7 @@
 }
 
 struct Fleet<'a> {
-  story: &'a Scenario,
+  scenario: &'a Scenario,
   rng: SmallRng,
   instances: Vec<Instance>,
   /// Index of the holder, and the time before which no holder responds, ms.
@@ -124,8 +124,8 @@
   sent: BTreeSet<u64>,
   lives: u64,
   /// Times of requests at the first server, ms: those of instances that know its limit, and all.
-  informed_requests: Vec<u64>,
-  got: Vec<u64>,
+  informed_received_at: Vec<u64>,
+  received_at: Vec<u64>,
   outcome: Outcome,
 }
 
@@ -176,11 +176,11 @@
 }
 
 /// Simulates a scenario.
-pub fn simulate(story: &Scenario) -> Outcome {
+pub fn simulate(scenario: &Scenario) -> Outcome {
   let mut fleet = Fleet {
-    rng: SmallRng::seed_from_u64(story.seed),
+    rng: SmallRng::seed_from_u64(scenario.seed),
     instances: Vec::new(),
-    holder: story.instances - 1,
+    holder: scenario.instances - 1,
     holder_at: 0,
     accounts: Accounts::default(),
     sums: (0, Sums::new()),
@@ -191,16 +191,16 @@
     arrived: BTreeMap::new(),
     sent: BTreeSet::new(),
     lives: 1,
-    informed_requests: Vec::new(),
-    got: Vec::new(),
+    informed_received_at: Vec::new(),
+    received_at: Vec::new(),
     outcome: Outcome {
       excess: f64::NEG_INFINITY,
       ..Outcome::default()
     },
-    story,
+    scenario,
   };
-  fleet.instances = (0..story.instances).map(|_| fleet.instance(0)).collect();
-  for now in 1..story.length_ms {
+  fleet.instances = (0..scenario.instances).map(|_| fleet.instance(0)).collect();
+  for now in 1..scenario.length_ms {
     fleet.step(now);
   }
   fleet.finish()
@@ -233,7 +233,7 @@
   }
 
   fn specs(&self) -> Vec<Spec> {
-    let others = (1..self.story.servers).map(|number| life(number, 1));
+    let others = (1..self.scenario.servers).map(|number| life(number, 1));
     [life(0, self.lives)].into_iter().chain(others).collect()
   }
 
@@ -243,17 +243,17 @@
       holdings: Vec::new(),
       group: None,
       loads: None,
-      instances: self.story.instances,
+      instances: self.scenario.instances,
     };
     instance.state.reduce(now, updated);
   }
 
   fn is_partitioned(&self, now: u64, index: usize) -> bool {
-    is_affected(self.story.partitioned, index, now)
+    is_affected(self.scenario.partitioned, index, now)
   }
 
   fn frozen(&self, now: u64, index: usize) -> bool {
-    is_affected(self.story.suspended, index, now)
+    is_affected(self.scenario.suspended, index, now)
   }
 
   fn post(&mut self, at: u64, message: Message) {
@@ -268,7 +268,7 @@
   fn datagram(&mut self, now: u64, index: usize, message: Message) {
     self.outcome.messages += 1;
     let cut = self.is_partitioned(now, index) || self.is_partitioned(now, self.holder);
-    if !cut && !self.rng.random_bool(self.story.loss) {
+    if !cut && !self.rng.random_bool(self.scenario.loss) {
       let at = now + self.rng.random_range(1..8);
       self.post(at, message);
     }
@@ -293,7 +293,7 @@
   }
 
   fn apply_failures(&mut self, now: u64) {
-    if self.story.restart == Some(now) {
+    if self.scenario.restart == Some(now) {
       self.lives += 1;
       for index in 0..self.instances.len() {
         let change = Event::Servers(vec![Change::Set(life(0, self.lives))]);
@@ -302,7 +302,7 @@
       }
       self.close_window();
     }
-    if let Some((count, at, holder)) = self.story.kill
+    if let Some((count, at, holder)) = self.scenario.kill
       && now == at
     {
       for index in 0..count {
@@ -313,7 +313,7 @@
         self.holder_at = now + TAKEOVER_MS;
       }
     }
-    if let Some((count, _, until)) = self.story.suspended
+    if let Some((count, _, until)) = self.scenario.suspended
       && now == until
     {
       // After a suspension an instance must receive the limit again before its requests count.
@@ -377,7 +377,7 @@
       && self.frozen(now, index)
     {
       // A suspended instance reads messages when it resumes.
-      let (_, _, until) = self.story.suspended.unwrap();
+      let (_, _, until) = self.scenario.suspended.unwrap();
       return self.post(until, drop_outdated(message));
     }
     match message {
@@ -435,8 +435,8 @@
 
   /// Limit that the first server announces at a time; `None` if it announces none.
   fn announced_rate(&self, now: u64) -> Option<f64> {
-    let mut named = self.story.announced.iter();
-    let last = named.rfind(|(at, _)| *at <= now);
+    let mut announced = self.scenario.announced.iter();
+    let last = announced.rfind(|(at, _)| *at <= now);
     last.and_then(|(_, rate)| *rate)
   }
 
@@ -451,7 +451,7 @@
       None
     };
     if first {
-      self.got.push(now);
+      self.received_at.push(now);
       if rate.is_some() {
         self.outcome.received += 1;
       }
@@ -459,7 +459,7 @@
       if rate.is_some()
         && informed_at.is_some_and(|informed_at| now >= informed_at + ENFORCEMENT_DELAY_MS)
       {
-        self.informed_requests.push(now);
+        self.informed_received_at.push(now);
       }
     }
     let head = now + self.rng.random_range(5..60);
@@ -469,8 +469,8 @@
     }
     let sample: f64 = self.rng.random();
     let end = match () {
-      () if sample < self.story.declined => End::Full,
-      () if sample < self.story.declined + self.story.broken => End::Broken,
+      () if sample < self.scenario.declined => End::Full,
+      () if sample < self.scenario.declined + self.scenario.broken => End::Broken,
       () => End::Whole,
     };
     let at = head + self.rng.random_range(1..200);
@@ -478,7 +478,7 @@
   }
 
   fn arrive(&mut self, now: u64) {
-    let mut expected = self.story.load / 1_000.0;
+    let mut expected = self.scenario.load / 1_000.0;
     while expected > 0.0 && self.rng.random_bool(expected.min(1.0)) {
       expected -= 1.0;
       let index = self.rng.random_range(0..self.instances.len());
@@ -561,7 +561,7 @@
       instance.report_at = next_request_at;
       return;
     }
-    let pause = (self.story.instances as u64 * 3).clamp(500, 1_000);
+    let pause = (self.scenario.instances as u64 * 3).clamp(500, 1_000);
     instance.report_at = match needed {
       true => instance.state.quotas().next_request_at().max(now + 1),
       false => now + pause,
@@ -586,29 +586,30 @@
 
   /// Records the fullest window so far; later windows belong to another life of the server.
   fn close_window(&mut self) {
-    let informed_requests = std::mem::take(&mut self.informed_requests);
-    let rates = self.story.announced.iter().filter_map(|(_, rate)| *rate);
+    let informed_received_at = std::mem::take(&mut self.informed_received_at);
+    let rates = self.scenario.announced.iter().filter_map(|(_, rate)| *rate);
     let most_rate = rates.fold(0.0, f64::max);
     let allowed = most_rate * WINDOW_MS as f64 / 1_000.0 * OVERAGE + SLACK;
     let mut first = 0;
-    for (last, at) in informed_requests.iter().enumerate() {
-      while informed_requests[first] + WINDOW_MS <= *at {
+    for (last, at) in informed_received_at.iter().enumerate() {
+      while informed_received_at[first] + WINDOW_MS <= *at {
         first += 1;
       }
-      let beyond = (last + 1 - first) as f64 - allowed;
-      self.outcome.excess = self.outcome.excess.max(beyond);
+      let excess = (last + 1 - first) as f64 - allowed;
+      self.outcome.excess = self.outcome.excess.max(excess);
     }
   }
 
   fn finish(mut self) -> Outcome {
     self.close_window();
-    let named = self.story.announced.first().map_or(0, |(at, _)| *at);
+    let announced_at = self.scenario.announced.first().map_or(0, |(at, _)| *at);
     let rate = self
-      .announced_rate(self.story.length_ms)
+      .announced_rate(self.scenario.length_ms)
       .unwrap_or_default();
-    self.outcome.allowed = rate * (self.story.length_ms - named) as f64 / 1_000.0;
-    let last = self.story.length_ms - 1_000;
-    self.outcome.received_in_last_second = self.got.iter().filter(|at| **at >= last).count();
+    self.outcome.allowed = rate * (self.scenario.length_ms - announced_at) as f64 / 1_000.0;
+    let last = self.scenario.length_ms - 1_000;
+    self.outcome.received_in_last_second =
+      self.received_at.iter().filter(|at| **at >= last).count();
     self.outcome
   }
 }
--- a/tests/fleet_quota/mod.rs
+++ b/tests/fleet_quota/mod.rs
@@ -68,7 +68,7 @@
 }
 
 struct Instance {
-  purse: Balances,
+  quotas: Balances,
   process: u64,
   /// Waiting requests: customer, cost, arrival time in ms.
   waiting: Vec<(usize, u32, u64)>,
@@ -155,7 +155,7 @@
 
 fn instance(rng: &mut SmallRng) -> Instance {
   Instance {
-    purse: Balances::new(rng.random()),
+    quotas: Balances::new(rng.random()),
     process: rng.random(),
     waiting: Vec::new(),
     report_at: rng.random_range(0..REPORT_MS),
@@ -174,7 +174,7 @@
         let unreachable = is_affected(self.scenario.partitioned, index, now)
           || is_affected(self.scenario.suspended, index, now);
         if self.strategy != Strategy::Equal && !unreachable {
-          self.instances[index].purse.receive_sums(now, &self.sums.1);
+          self.instances[index].quotas.receive_sums(now, &self.sums.1);
         }
       }
     }
@@ -201,7 +201,7 @@
       self.instances[index] = instance(&mut self.rng);
       if self.strategy != Strategy::Equal {
         // An instance reads the lease's record when it starts.
-        self.instances[index].purse.receive_sums(now, &self.sums.1);
+        self.instances[index].quotas.receive_sums(now, &self.sums.1);
       }
     }
     if holder {
@@ -240,7 +240,7 @@
               .push((until, Message::Grants(index, process, sent, grants)));
           } else if self.instances[index].process == process {
             self.instances[index]
-              .purse
+              .quotas
               .receive_grants(now, sent, &grants);
           }
         }
@@ -307,7 +307,7 @@
       Strategy::Equal | Strategy::Leases => Some(0),
     };
     match instance
-      .purse
+      .quotas
       .acquire(now, (id, &allowance), cost, requested_at, count)
     {
       Decision::Granted => self.ran[customer].push((since, cost)),
@@ -342,13 +342,13 @@
     for (customer, cost, _) in &instance.waiting {
       *needs.entry(self.customers[*customer].0).or_default() += cost;
     }
-    if !needs.is_empty() && now < instance.purse.next_request_at() {
+    if !needs.is_empty() && now < instance.quotas.next_request_at() {
       return;
     }
-    let uses = instance.purse.uses(now, &needs);
+    let uses = instance.quotas.uses(now, &needs);
     instance.report_at = now + REPORT_MS;
     if !needs.is_empty() {
-      instance.report_at = instance.purse.next_request_at();
+      instance.report_at = instance.quotas.next_request_at();
     }
     let process = instance.process;
     self.post(now, index, Message::Uses(index, process, now, uses));
--- a/tests/holder/mod.rs
+++ b/tests/holder/mod.rs
@@ -204,11 +204,11 @@
 
   pub fn order(&mut self, command: Command) {
     self.orders.push(command.clone());
-    let taken = match self.order_result {
+    let result = match self.order_result {
       Some(fate) => fate,
       None => self.carry_out(&command),
     };
-    self.plan.record_order_result(self.now, &command, taken);
+    self.plan.record_order_result(self.now, &command, result);
   }
 
   pub fn carry_out(&mut self, command: &Command) -> Taken {
--- a/tests/leaving.rs
+++ b/tests/leaving.rs
@@ -30,8 +30,8 @@
   fleet.engine(&record.replicas[0].server)
 }
 
-fn assert_served(fleet: &Fleet, at: usize, prompt: &str) {
-  let reply = Ask::of("contracts", prompt, 5).send(fleet.callers(at));
+fn assert_served(fleet: &Fleet, instance: usize, prompt: &str) {
+  let reply = Ask::of("contracts", prompt, 5).send(fleet.callers(instance));
   assert!(reply.is(&answer(prompt, 5)), "{reply:?}");
 }
 
