--- a/soak/src/main.rs
+++ b/soak/src/main.rs
@@ -7,7 +7,7 @@
   leaving,
   plan::{self, Size, Step},
   switch::Break,
-  world::{LEASE_MS, Options, play},
+  world::{LEASE_MS, Options, simulate},
 };
 use std::{
   collections::BTreeMap,
@@ -138,7 +138,7 @@
 fn one(arguments: &Arguments, seed: u64, stop: &AtomicBool) -> bool {
   let mut steps = match arguments.broken {
     Some((_, broken, _)) => broken.steps(),
-    None => plan::draw(seed, &arguments.size),
+    None => plan::generate(seed, &arguments.size),
   };
   steps.truncate(arguments.steps);
   println!("seed {seed}, {} faults", steps.len());
@@ -185,7 +185,7 @@
     seed,
     size: arguments.size,
     steps: steps.to_vec(),
-    broken: arguments.broken.map(|(_, broken, _)| broken),
+    switch: arguments.broken.map(|(_, broken, _)| broken),
     logs,
     calm_ms: CALM_MS,
   };
@@ -194,7 +194,7 @@
     timed: arguments.timed,
     ..Bounds::default()
   };
-  match play(&options, stop) {
+  match simulate(&options, stop) {
     Ok(history) => {
       let found = check(&history, &bounds);
       Some((history, found))
--- a/soak/src/plan.rs
+++ b/soak/src/plan.rs
@@ -170,7 +170,7 @@
 const AWAY_MS: std::ops::Range<u64> = 200..2_600;
 
 /// Draws a plan; the same seed and size give the same.
-pub fn draw(seed: u64, size: &Size) -> Vec<Step> {
+pub fn generate(seed: u64, size: &Size) -> Vec<Step> {
   if (LEAVING..SAYING).contains(&seed) {
     return leaving(seed, size);
   }
--- a/soak/src/world/member.rs
+++ b/soak/src/world/member.rs
@@ -41,8 +41,8 @@
     let name = format!("soak-{}-{number}", options.seed);
     let log = options.logs.as_deref();
     let log = log.map(|folder: &Path| folder.join(format!("{number}.log")));
-    let early = options.broken == Some(Break::Lease) && number > 0;
-    let short = options.broken == Some(Break::Grace);
+    let early = options.switch == Some(Break::Lease) && number > 0;
+    let short = options.switch == Some(Break::Grace);
     let setup = Setup {
       lease_ms: if early { 60 } else { LEASE_MS },
       grace_ms: if short { 1_050 } else { GRACE_MS },
--- a/soak/src/world/mod.rs
+++ b/soak/src/world/mod.rs
@@ -35,7 +35,7 @@
   pub seed: u64,
   pub size: Size,
   pub steps: Vec<Step>,
-  pub broken: Option<Break>,
+  pub switch: Option<Break>,
   /// Logs of the instances go here.
   pub logs: Option<PathBuf>,
   /// From the last fault's end to the end of the load, ms.
@@ -64,7 +64,7 @@
 }
 
 /// Plays a run; ends early when `stop` is set.
-pub fn play(options: &Options, stop: &AtomicBool) -> io::Result<History> {
+pub fn simulate(options: &Options, stop: &AtomicBool) -> io::Result<History> {
   let world = Arc::new(World::open(options)?);
   let watchers = world.watch(options);
   let faults = world.strike(&options.steps, stop);
@@ -92,7 +92,7 @@
 impl World {
   fn open(options: &Options) -> io::Result<Self> {
     let store = Store::start();
-    let broken = options.broken;
+    let broken = options.switch;
     if broken != Some(Break::Policy) {
       configuration::bound(&store);
     }
