--- a/soak/src/check.rs
+++ b/soak/src/check.rs
@@ -1,90 +1,91 @@
-//! The promises, checked against a history.
+//! Checks the invariants of the system against a recorded history.
 
-use crate::history::{End, FROZEN, History, Kind, Limit, Order, STOPPED, Sent, Target};
-use crate::leaving::{self, Last};
-use crate::said::{self, After};
+use crate::history::{End, FROZEN, History, Kind, Limit, Order, Request, STOPPED, Target};
+use crate::leaving::{self, LateRun};
+use crate::said::{self, LateArrival};
 use std::collections::{BTreeMap, HashMap};
 
-/// Bounds that hold on top of the machine's own delays, ms.
+/// Limits that the checks apply, in addition to the measured scheduling lag.
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
-  /// From the end of a caller's patience to its final answer.
-  pub answer_ms: u64,
-  /// From the store's word that a server leaves to the last new request there.
+  /// Longest time from a request's deadline to its final response.
+  pub deadline_overrun_ms: u64,
+  /// Longest time from the draining state in the store to the last new request to the server.
   pub drain_ms: u64,
-  /// From the store's word of a configuration to its force everywhere.
-  pub configure_ms: u64,
-  /// Without trouble for this long an instance is in touch.
+  /// Longest time from the store's acknowledgement of a configuration until all instances use it.
+  pub config_apply_ms: u64,
+  /// Time without faults after which an instance counts as connected to the store.
   pub contact_ms: u64,
-  /// Between orders of two holders to one server.
+  /// Shortest time between orders of two lease holders to one server.
   pub lease_ms: u64,
-  /// After a freeze or a cut, orders that were on their way may still arrive.
-  pub thaw_ms: u64,
-  /// From the end of all faults to full service.
-  pub recover_ms: u64,
-  /// From an answer that names a limit to the last request beyond it.
-  pub heard_ms: u64,
-  /// Window in which a limit is judged, and what it allows there on top: a part of it, and
-  /// requests besides.
+  /// Time after a freeze or a connection cut in which delayed orders may still arrive.
+  pub thaw_slack_ms: u64,
+  /// Longest time from the end of all faults to full service.
+  pub recovery_ms: u64,
+  /// Longest time from a response that announces a rate limit until the instance applies it.
+  pub limit_notice_ms: u64,
+  /// Window over which the request rate is compared with an announced limit. The allowed count is
+  /// the limit, plus `limit_overage` as a fraction of it, plus `limit_slack` requests.
   pub limit_window_ms: u64,
   pub limit_overage: f64,
   pub limit_slack: f64,
-  /// From an answer that asks for rest to the last request that may have crossed it, and requests
-  /// of one instance after that, in the rest.
-  pub crossing_ms: u64,
-  pub in_rest: usize,
+  /// Time after a response that asks for a backoff in which requests may still be in flight, and
+  /// the most requests that one instance may send after that until the backoff ends.
+  pub in_flight_ms: u64,
+  pub max_backoff_requests: usize,
   /// Replicas that the policy allows for the bounded model.
-  pub replicas: usize,
-  /// Whether bounds of time are checked: they depend on the machine's speed.
+  pub max_replicas: usize,
+  /// Whether time limits are checked. They depend on the speed of the machine.
   pub timed: bool,
 }
 
 impl Default for Bounds {
-  /// The bounds of the users' deployments (`drain_ms`, `config_apply_ms`,
-  /// `contact_ms`, `thaw_slack_ms`, `recovery_s`), with some room for one machine.
+  /// The limits of the users' deployments (`drain_ms`, `config_apply_ms`,
+  /// `contact_ms`, `thaw_slack_ms`, `recovery_s`), with a margin because all processes share one
+  /// machine.
   fn default() -> Self {
     Self {
-      answer_ms: 500,
+      deadline_overrun_ms: 500,
       drain_ms: 2_500,
-      configure_ms: 2_500,
+      config_apply_ms: 2_500,
       contact_ms: 3_000,
       lease_ms: 1_000,
-      thaw_ms: 400,
-      recover_ms: 6_000,
-      heard_ms: 500,
+      thaw_slack_ms: 400,
+      recovery_ms: 6_000,
+      limit_notice_ms: 500,
       limit_window_ms: 4_000,
       limit_overage: 0.5,
       limit_slack: 5.0,
-      crossing_ms: 500,
-      in_rest: 2,
-      replicas: 2,
+      in_flight_ms: 500,
+      max_backoff_requests: 2,
+      max_replicas: 2,
       timed: true,
     }
   }
 }
 
-/// A broken promise.
+/// A violated invariant. `at` is in ms since the start of the run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Violation {
-  pub promise: &'static str,
+  pub invariant: &'static str,
   pub at: u64,
   pub text: String,
 }
 
-/// Part of calm requests that must be served, in hundredths.
-const SERVED_PERCENT: usize = 90;
-/// Factor on this machine's longest delay where times are compared.
-const LAG: u64 = 2;
+/// Share of the requests after the recovery time that must be served, in percent.
+const MIN_SERVED_PERCENT: usize = 90;
+/// Multiplier of the measured scheduling lag that is added to time limits.
+const LAG_FACTOR: u64 = 2;
 
 struct Check<'a> {
   history: &'a History,
   bounds: Bounds,
-  /// Servers that ran a request, with times.
+  /// Servers that ran each request, by request id, with times.
   runs: HashMap<&'a str, Vec<(&'a str, u64)>>,
-  found: Vec<Violation>,
+  violations: Vec<Violation>,
 }
 
-/// All broken promises, in order of time.
+/// Returns all violated invariants in order of time.
 pub fn check(history: &History, bounds: &Bounds) -> Vec<Violation> {
   let mut runs: HashMap<&str, Vec<(&str, u64)>> = HashMap::new();
   for run in &history.runs {
@@ -95,133 +96,144 @@
     history,
     bounds: *bounds,
     runs,
-    found: Vec::new(),
+    violations: Vec::new(),
   };
-  check.requests();
-  check.orders();
-  check.memory();
-  check.configurations();
+  check.check_requests();
+  check.check_orders();
+  check.check_memory();
+  check.check_configurations();
   if bounds.timed {
-    check.drained();
-    check.limits();
-    check.said();
+    check.check_departures();
+    check.check_limits();
+    check.check_announcements();
   }
-  check.recovery();
-  let mut found = check.found;
-  found.sort_by_key(|violation| violation.at);
-  found
+  check.check_recovery();
+  let mut violations = check.violations;
+  violations.sort_by_key(|violation| violation.at);
+  violations
 }
 
 impl Check<'_> {
-  fn found(&mut self, promise: &'static str, at: u64, text: String) {
-    self.found.push(Violation { promise, at, text });
+  fn report(&mut self, invariant: &'static str, at: u64, text: String) {
+    self.violations.push(Violation {
+      invariant,
+      at,
+      text,
+    });
   }
 
-  fn troubled(&self, target: &Target, from: u64, to: u64) -> bool {
-    self.history.troubled(target, from, to)
+  fn had_incident(&self, target: &Target, from: u64, to: u64) -> bool {
+    self.history.had_incident(target, from, to)
   }
 
-  /// Whether a fault at its instance excuses how a request ended; a planned stop does
-  /// so only for what came after the end of the process.
-  fn excused(&self, sent: &Sent) -> bool {
-    let mut troubles = self.history.troubles.iter();
-    troubles.any(|trouble| {
-      let begins = match trouble.what {
-        STOPPED => trouble.from <= sent.at,
-        _ => trouble.from <= sent.ended,
+  /// Whether a fault of the request's instance excuses its outcome. A planned stop excuses only
+  /// requests sent after the process ended.
+  fn is_excused(&self, request: &Request) -> bool {
+    let mut incidents = self.history.incidents.iter();
+    incidents.any(|incident| {
+      let started = match incident.cause {
+        STOPPED => incident.from <= request.at,
+        _ => incident.from <= request.ended,
       };
-      trouble.target == Target::Instance(sent.instance) && begins && trouble.to >= sent.at
+      incident.target == Target::Instance(request.instance) && started && incident.to >= request.at
     })
   }
 
-  fn any_server_troubled(&self, from: u64, to: u64) -> bool {
-    let mut troubles = self.history.troubles.iter();
-    troubles.any(|trouble| {
-      matches!(trouble.target, Target::Server(_)) && trouble.from <= to && trouble.to >= from
+  fn any_server_had_incident(&self, from: u64, to: u64) -> bool {
+    let mut incidents = self.history.incidents.iter();
+    incidents.any(|incident| {
+      matches!(incident.target, Target::Server(_)) && incident.from <= to && incident.to >= from
     })
   }
 
-  fn slack(&self) -> u64 {
-    LAG * self.history.lag_ms
+  fn lag_slack(&self) -> u64 {
+    LAG_FACTOR * self.history.max_lag_ms
   }
 
-  fn requests(&mut self) {
-    for sent in &self.history.sent {
-      self.once(sent);
-      self.refusal(sent);
-      self.answer(sent);
+  fn check_requests(&mut self) {
+    for request in &self.history.requests {
+      self.check_single_run(request);
+      self.check_refusal(request);
+      self.check_response(request);
       if self.bounds.timed {
-        self.in_time(sent);
+        self.check_deadline(request);
       }
     }
   }
 
-  fn runs_of(&self, sent: &Sent) -> usize {
-    self.runs.get(sent.id.as_str()).map_or(0, Vec::len)
+  fn runs_of(&self, request: &Request) -> usize {
+    self.runs.get(request.id.as_str()).map_or(0, Vec::len)
   }
 
-  /// What may not be repeated runs at most once.
-  fn once(&mut self, sent: &Sent) {
-    let runs = self.runs_of(sent);
-    if !sent.kind.repeatable() && runs > 1 {
-      let text = format!("`{}` ran {runs} times", sent.id);
-      self.found("once", sent.at, text);
+  /// A request that is not repeatable runs at most once.
+  fn check_single_run(&mut self, request: &Request) {
+    let runs = self.runs_of(request);
+    if !request.kind.repeatable() && runs > 1 {
+      let text = format!("`{}` ran {runs} times", request.id);
+      self.report("once", request.at, text);
     }
   }
 
-  /// What is called not run has not run.
-  fn refusal(&mut self, sent: &Sent) {
-    let End::Failure { status, signed } = sent.end else {
+  /// A request that was refused as not run did not run on any server.
+  fn check_refusal(&mut self, request: &Request) {
+    let End::Failure { status, signed } = request.end else {
       return;
     };
-    let runs = self.runs_of(sent);
+    let runs = self.runs_of(request);
     if matches!(status, 408 | 421 | 429 | 503) && !signed && runs > 0 {
       let text = format!(
         "`{}` was refused with {status} and ran {runs} times",
-        sent.id
+        request.id
       );
-      self.found("refusal", sent.at, text);
+      self.report("refusal", request.at, text);
     }
   }
 
-  /// A caller gets the whole answer to its own request, or a final answer.
-  fn answer(&mut self, sent: &Sent) {
-    let excused = self.excused(sent);
-    // A request that crosses the close of a connection at rest has not been read.
-    let crossed = sent.reused && self.runs_of(sent) == 0;
-    match sent.end {
-      End::Success { own: false } => {
+  /// A caller gets the complete response to its own request, or a final error.
+  fn check_response(&mut self, request: &Request) {
+    let excused = self.is_excused(request);
+    // The instance may close an idle connection as the request arrives, without reading it.
+    let closed_while_idle = request.reused && self.runs_of(request) == 0;
+    match request.end {
+      End::Success { intact: false } => {
         let text = format!(
-          "`{}` got what is not its own whole answer: {:?}",
-          sent.id,
-          sent.foreign.as_deref().unwrap_or_default()
+          "`{}` got an incomplete or foreign response: {:?}",
+          request.id,
+          request.unexpected_body.as_deref().unwrap_or_default()
         );
-        self.found("answer", sent.at, text);
+        self.report("answer", request.at, text);
       }
-      End::Cut if !excused && !self.any_server_troubled(sent.at, sent.ended) => {
-        let text = format!("the answer to `{}` broke off without a fault", sent.id);
-        self.found("answer", sent.at, text);
+      End::Truncated if !excused && !self.any_server_had_incident(request.at, request.ended) => {
+        let text = format!(
+          "the response to `{}` was truncated without a fault",
+          request.id
+        );
+        self.report("answer", request.at, text);
       }
-      End::Closed if !(excused || crossed) => {
-        let text = format!("`{}` ended without an answer", sent.id);
-        self.found("stop", sent.at, text);
+      End::Closed if !(excused || closed_while_idle) => {
+        let text = format!(
+          "the connection of `{}` closed without a response",
+          request.id
+        );
+        self.report("stop", request.at, text);
       }
       _ => {}
     }
   }
 
-  /// Served or refused in time.
-  fn in_time(&mut self, sent: &Sent) {
-    let last = sent.at + sent.kind.deadline_ms() + self.bounds.answer_ms + self.slack();
-    if sent.ended > last && !self.excused(sent) {
-      let took = sent.ended - sent.at;
-      let text = format!("`{}` took {took} ms to its final answer", sent.id);
-      self.found("in time", sent.at, text);
+  /// Requests are served or refused within their deadline.
+  fn check_deadline(&mut self, request: &Request) {
+    let latest =
+      request.at + request.kind.deadline_ms() + self.bounds.deadline_overrun_ms + self.lag_slack();
+    if request.ended > latest && !self.is_excused(request) {
+      let took = request.ended - request.at;
+      let text = format!("`{}` took {took} ms to get its final response", request.id);
+      self.report("in time", request.at, text);
     }
   }
 
-  /// One holder gives orders to a server at a time.
-  fn orders(&mut self) {
+  /// Only one lease holder at a time sends orders to a server.
+  fn check_orders(&mut self) {
     let mut servers: BTreeMap<&str, Vec<&Order>> = BTreeMap::new();
     for order in &self.history.orders {
       servers.entry(&order.server).or_default().push(order);
@@ -230,125 +242,132 @@
       orders.sort_by_key(|order| order.at);
       let pairs: Vec<(&Order, &Order)> = orders.windows(2).map(|pair| (pair[0], pair[1])).collect();
       for (one, two) in pairs {
-        if one.holder != two.holder && !self.on_its_way(server, two.at) {
-          self.two_holders(server, one, two);
+        if one.holder != two.holder && !self.may_be_delayed(server, two.at) {
+          self.check_holders(server, one, two);
         }
       }
     }
   }
 
-  fn two_holders(&mut self, server: &str, one: &Order, two: &Order) {
+  fn check_holders(&mut self, server: &str, one: &Order, two: &Order) {
     let between = two.at - one.at;
-    let wrong = match () {
+    let reason = match () {
       () if one.term == two.term => "with the same term",
       () if one.term > two.term => "with a lower term",
-      () if self.bounds.timed && between + self.slack() < self.bounds.lease_ms => "too soon",
+      () if self.bounds.timed && between + self.lag_slack() < self.bounds.lease_ms => "too soon",
       () => return,
     };
     let text = format!(
-      "server `{server}` got orders of `{}` (term {}) and {between} ms later of `{}` (term {}): {wrong}",
+      "server `{server}` got orders from `{}` (term {}) and {between} ms later from `{}` (term {}): {reason}",
       one.holder, one.term, two.holder, two.term
     );
-    self.found("orders", two.at, text);
+    self.report("orders", two.at, text);
   }
 
-  /// An order that a cut or a freeze held up may arrive after it.
-  fn on_its_way(&self, server: &str, at: u64) -> bool {
-    let from = at.saturating_sub(self.bounds.thaw_ms + self.slack());
-    let mut troubles = self.history.troubles.iter();
-    troubles.any(|trouble| {
-      let held = match &trouble.target {
-        Target::Instance(_) => trouble.what == FROZEN,
+  /// Whether a freeze or a connection cut may have delayed an order to this server.
+  fn may_be_delayed(&self, server: &str, at: u64) -> bool {
+    let from = at.saturating_sub(self.bounds.thaw_slack_ms + self.lag_slack());
+    let mut incidents = self.history.incidents.iter();
+    incidents.any(|incident| {
+      let delays = match &incident.target {
+        Target::Instance(_) => incident.cause == FROZEN,
         Target::Server(id) => id == server,
         Target::Store => false,
       };
-      held && trouble.from <= at && trouble.to >= from
+      delays && incident.from <= at && incident.to >= from
     })
   }
 
-  /// Memory is not overcommitted, and no more replicas are loaded than decided.
-  fn memory(&mut self) {
-    for (server, loads) in &self.history.overfull {
-      let text = format!("server `{server}` was given {loads} loads beyond its memory");
-      self.found("memory", 0, text);
+  /// Server memory is not overcommitted, and replicas stay within the policy unless servers carried
+  /// out orders late.
+  fn check_memory(&mut self) {
+    for (server, loads) in &self.history.overcommitted {
+      let text = format!("server `{server}` got {loads} load orders beyond its memory");
+      self.report("memory", 0, text);
     }
     if !self.history.late_orders {
-      self.replicas();
+      self.check_replicas();
     }
   }
 
-  /// The first moment at which more servers held the bounded model than may.
-  fn replicas(&mut self) {
-    let most = self.bounds.replicas;
+  /// Reports the first time at which too many servers held the bounded model.
+  fn check_replicas(&mut self) {
+    let max_replicas = self.bounds.max_replicas;
     let holds = &self.history.holds;
-    let at_once = |at: u64| {
+    let holders_at = |at: u64| {
       holds
         .iter()
         .filter(move |hold| hold.from <= at && at < hold.to)
     };
-    let over = holds.iter().map(|hold| hold.from);
-    let over = over.filter(|at| at_once(*at).count() > most).min();
-    if let Some(at) = over {
-      let names: Vec<&str> = at_once(at).map(|hold| hold.server.as_str()).collect();
+    let exceeded = holds.iter().map(|hold| hold.from);
+    let exceeded = exceeded
+      .filter(|at| holders_at(*at).count() > max_replicas)
+      .min();
+    if let Some(at) = exceeded {
+      let names: Vec<&str> = holders_at(at).map(|hold| hold.server.as_str()).collect();
       let count = names.len();
-      let text = format!("{count} servers hold the model that {most} may hold: {names:?}");
-      self.found("replicas", at, text);
+      let text = format!("{count} servers hold the model that {max_replicas} may hold: {names:?}");
+      self.report("replicas", at, text);
     }
   }
 
-  /// A configuration is in force in time and never goes back.
-  fn configurations(&mut self) {
+  /// Each configuration is applied in time, and an instance never returns to an older version.
+  fn check_configurations(&mut self) {
     let mut newest: BTreeMap<(usize, u32), u64> = BTreeMap::new();
     for probe in &self.history.probes {
-      let before = newest.entry((probe.instance, probe.life)).or_default();
-      if probe.version < *before {
+      let newest_seen = newest.entry((probe.instance, probe.life)).or_default();
+      if probe.version < *newest_seen {
         let text = format!(
-          "instance {} went from version {before} back to {}",
+          "instance {} went from version {newest_seen} back to {}",
           probe.instance, probe.version
         );
-        self.found("configuration", probe.at, text);
+        self.report("configuration", probe.at, text);
       }
-      *before = (*before).max(probe.version);
-      let bound = self.bounds.configure_ms + self.slack();
-      let due = self.history.configured.iter();
-      let due = due.filter(|(_, at)| at + bound <= probe.at);
-      let due = due.map(|(version, _)| *version).max().unwrap_or_default();
+      *newest_seen = (*newest_seen).max(probe.version);
+      let bound = self.bounds.config_apply_ms + self.lag_slack();
+      let required = self.history.configured.iter();
+      let required = required.filter(|(_, at)| at + bound <= probe.at);
+      let required = required
+        .map(|(version, _)| *version)
+        .max()
+        .unwrap_or_default();
       let from = probe.at.saturating_sub(self.bounds.contact_ms + bound);
-      let excused = self.troubled(&Target::Instance(probe.instance), from, probe.at)
-        || self.troubled(&Target::Store, from, probe.at);
-      if self.bounds.timed && probe.version < due && !excused {
+      let excused = self.had_incident(&Target::Instance(probe.instance), from, probe.at)
+        || self.had_incident(&Target::Store, from, probe.at);
+      if self.bounds.timed && probe.version < required && !excused {
         let text = format!(
-          "instance {} has version {}, not {due}",
+          "instance {} has version {}, not {required}",
           probe.instance, probe.version
         );
-        self.found("configuration", probe.at, text);
+        self.report("configuration", probe.at, text);
       }
     }
   }
 
-  /// A server that leaves gets no new work.
-  fn drained(&mut self) {
-    let bound = self.bounds.drain_ms + self.slack();
-    let last = leaving::last(self.history, &self.bounds);
-    for Last { run, after_ms } in last.iter().filter(|last| last.after_ms > bound) {
+  /// A server that is leaving gets no new requests, also not after a restore of the store.
+  fn check_departures(&mut self) {
+    let bound = self.bounds.drain_ms + self.lag_slack();
+    let runs = leaving::last_runs(self.history, &self.bounds);
+    for LateRun { run, after_ms } in runs.iter().filter(|one| one.after_ms > bound) {
       let (server, id) = (&run.server, &run.id);
-      let text = format!("server `{server}` got `{id}` {after_ms} ms after it began to leave");
-      self.found("leaving", run.at, text);
+      let text = format!("server `{server}` got `{id}` {after_ms} ms after it started to leave");
+      self.report("leaving", run.at, text);
     }
-    for Last { run, after_ms } in leaving::back(self.history, &self.bounds) {
+    for LateRun { run, after_ms } in leaving::runs_after_restore(self.history, &self.bounds) {
       if after_ms > bound {
         let (server, id) = (&run.server, &run.id);
-        let text =
-          format!("server `{server}` got `{id}` {after_ms} ms after it was known to leave");
-        self.found("back", run.at, text);
+        let text = format!(
+          "server `{server}` got `{id}` {after_ms} ms after its departure, which the instance knew"
+        );
+        self.report("back", run.at, text);
       }
     }
   }
 
-  /// A server in need gets no more than it names, of the instances that it has told.
-  fn limits(&mut self) {
+  /// Instances that received a server's rate limit keep to it.
+  fn check_limits(&mut self) {
     for limit in &self.history.limits {
-      let counted = self.told(limit);
+      let counted = self.arrivals_after_notice(limit);
       let window_s = self.bounds.limit_window_ms as f64 / 1_000.0;
       let allowed = limit.rate * window_s * (1.0 + self.bounds.limit_overage);
       let allowed = (allowed + self.bounds.limit_slack) as usize;
@@ -357,104 +376,104 @@
         while counted[first] + self.bounds.limit_window_ms <= *at {
           first += 1;
         }
-        let got = last + 1 - first;
-        if got > allowed {
+        let received = last + 1 - first;
+        if received > allowed {
           let (server, rate) = (&limit.server, limit.rate);
           let text = format!(
-            "server `{server}` took {rate} requests a second and got {got} in {} ms, {allowed} are allowed",
+            "server `{server}` announced a limit of {rate} requests per second and got {received} in {} ms; at most {allowed} are allowed",
             self.bounds.limit_window_ms
           );
-          self.found("limit", *at, text);
+          self.report("limit", *at, text);
           break;
         }
       }
     }
   }
 
-  /// When requests came to a server from instances that had heard its limit, but for those that
-  /// a fault struck meanwhile.
-  fn told(&self, limit: &Limit) -> Vec<u64> {
-    let sent: HashMap<&str, &Sent> = self
+  /// Returns the arrival times, in ms, of requests from instances that had received the limit.
+  /// Requests of instances with a recent fault are left out.
+  fn arrivals_after_notice(&self, limit: &Limit) -> Vec<u64> {
+    let by_id: HashMap<&str, &Request> = self
       .history
-      .sent
+      .requests
       .iter()
       .map(|one| (&*one.id, one))
       .collect();
     let arrivals = self.history.arrivals.iter();
-    let arrivals: Vec<(u64, &Sent)> = arrivals
+    let arrivals: Vec<(u64, &Request)> = arrivals
       .filter(|one| one.server == limit.server && (limit.from..limit.to).contains(&one.at))
-      .filter_map(|one| Some((one.at, *sent.get(one.id.as_str())?)))
+      .filter_map(|one| Some((one.at, *by_id.get(one.id.as_str())?)))
       .collect();
-    let mut heard: BTreeMap<usize, u64> = BTreeMap::new();
-    for (_, sent) in &arrivals {
-      if matches!(sent.end, End::Success { .. }) {
-        let first = heard.entry(sent.instance).or_insert(u64::MAX);
-        *first = (*first).min(sent.ended);
+    let mut noticed: BTreeMap<usize, u64> = BTreeMap::new();
+    for (_, request) in &arrivals {
+      if matches!(request.end, End::Success { .. }) {
+        let first = noticed.entry(request.instance).or_insert(u64::MAX);
+        *first = (*first).min(request.ended);
       }
     }
-    let bound = self.bounds.heard_ms + self.slack();
-    let counts = |(at, sent): &(u64, &Sent)| {
-      let told = heard.get(&sent.instance);
+    let bound = self.bounds.limit_notice_ms + self.lag_slack();
+    let is_counted = |(at, request): &(u64, &Request)| {
+      let noticed_at = noticed.get(&request.instance);
       let from = at.saturating_sub(self.bounds.contact_ms);
-      told.is_some_and(|told| *at >= told + bound)
-        && !self.troubled(&Target::Instance(sent.instance), from, *at)
+      noticed_at.is_some_and(|noticed_at| *at >= noticed_at + bound)
+        && !self.had_incident(&Target::Instance(request.instance), from, *at)
     };
     let mut counted: Vec<u64> = arrivals
       .iter()
-      .filter(|one| counts(one))
+      .filter(|one| is_counted(one))
       .map(|(at, _)| *at)
       .collect();
     counted.sort_unstable();
     counted
   }
 
-  /// What servers say in their answers holds.
-  fn said(&mut self) {
-    let bound = self.bounds.drain_ms + self.slack();
-    let late = said::after_leaving(self.history);
-    for After { arrival, after_ms } in late.iter().filter(|last| last.after_ms > bound) {
+  /// Instances act on the departures and backoffs that servers announce in responses.
+  fn check_announcements(&mut self) {
+    let bound = self.bounds.drain_ms + self.lag_slack();
+    let arrivals = said::last_arrivals_after_departure(self.history);
+    for LateArrival { arrival, after_ms } in arrivals.iter().filter(|one| one.after_ms > bound) {
       let (server, id) = (&arrival.server, &arrival.id);
       let text = format!(
-        "server `{server}` got `{id}` {after_ms} ms after its instance had passed on that it leaves"
+        "server `{server}` got `{id}` {after_ms} ms after the instance relayed its departure notice"
       );
-      self.found("said leaving", arrival.at, text);
+      self.report("said leaving", arrival.at, text);
     }
-    let crossing = self.bounds.crossing_ms + self.slack();
-    for (rest, got) in said::in_rests(self.history, crossing) {
-      if got > self.bounds.in_rest {
+    let in_flight_ms = self.bounds.in_flight_ms + self.lag_slack();
+    for (backoff, received) in said::requests_in_backoffs(self.history, in_flight_ms) {
+      if received > self.bounds.max_backoff_requests {
         let text = format!(
-          "server `{}` got {got} requests of one instance in a rest of {} ms",
-          rest.server,
-          rest.to - rest.from
+          "server `{}` got {received} requests from one instance during a backoff of {} ms",
+          backoff.server,
+          backoff.to - backoff.from
         );
-        self.found("rest", rest.from, text);
+        self.report("rest", backoff.from, text);
       }
     }
   }
 
-  /// After all faults everything is served again.
-  fn recovery(&mut self) {
-    let from = self.history.calm_from + self.bounds.recover_ms;
+  /// After all faults have ended, requests of every kind are served again.
+  fn check_recovery(&mut self) {
+    let from = self.history.faults_ended_at + self.bounds.recovery_ms;
     for kind in Kind::ALL {
-      let calm = self.history.sent.iter();
-      let calm: Vec<&Sent> = calm
-        .filter(|sent| sent.kind == kind && sent.at >= from && sent.end != End::Left)
+      let after_faults = self.history.requests.iter();
+      let after_faults: Vec<&Request> = after_faults
+        .filter(|request| request.kind == kind && request.at >= from && request.end != End::Left)
         .collect();
-      let served = calm.iter();
+      let served = after_faults.iter();
       let served = served
-        .filter(|sent| matches!(sent.end, End::Success { .. }))
+        .filter(|request| matches!(request.end, End::Success { .. }))
         .count();
-      let enough = match self.bounds.timed {
-        true => served * 100 >= calm.len() * SERVED_PERCENT,
+      let is_enough = match self.bounds.timed {
+        true => served * 100 >= after_faults.len() * MIN_SERVED_PERCENT,
         false => served > 0,
       };
-      if calm.is_empty() || !enough {
+      if after_faults.is_empty() || !is_enough {
         let text = format!(
-          "{served} of {} requests `{}` were served",
-          calm.len(),
+          "{served} of {} `{}` requests were served",
+          after_faults.len(),
           kind.route()
         );
-        self.found("recovery", from, text);
+        self.report("recovery", from, text);
       }
     }
   }
--- a/soak/src/history.rs
+++ b/soak/src/history.rs
@@ -1,96 +1,95 @@
-//! What a run has seen, in its own time: milliseconds since its start.
+//! What a run recorded. All times are in milliseconds since the start of the run.
 
 use std::{
   sync::{Mutex, PoisonError},
   time::Instant,
 };
 
-/// What a request asks for.
+/// Kind of a request; each kind has its own route.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Kind {
-  /// A call that may run at most once.
+  /// A unary request that may run at most once.
   Once,
-  /// A call that may be repeated.
-  Again,
-  /// A stream that another server may resume.
+  /// A unary request that may be repeated.
+  Repeatable,
+  /// A streaming request that another server may resume.
   Stream,
-  /// A stream that runs at most once.
-  Single,
-  /// Work that may wait, for a model.
+  /// A streaming request that may run at most once.
+  StreamOnce,
+  /// A batch request for a model, which may wait.
   Batch,
 }
 
 impl Kind {
-  /// All kinds.
   pub const ALL: [Self; 5] = [
     Self::Once,
-    Self::Again,
+    Self::Repeatable,
     Self::Stream,
-    Self::Single,
+    Self::StreamOnce,
     Self::Batch,
   ];
 
-  /// The route's name.
+  /// Name of the route.
   pub fn route(self) -> &'static str {
     match self {
       Self::Once => "once",
-      Self::Again => "again",
+      Self::Repeatable => "again",
       Self::Stream => "stream",
-      Self::Single => "stream-once",
+      Self::StreamOnce => "stream-once",
       Self::Batch => "batch",
     }
   }
 
-  /// How long its caller waits, ms.
+  /// How long the caller waits, in ms.
   pub fn deadline_ms(self) -> u64 {
     match self {
-      Self::Once | Self::Again => 2_000,
-      Self::Stream | Self::Single => 5_000,
+      Self::Once | Self::Repeatable => 2_000,
+      Self::Stream | Self::StreamOnce => 5_000,
       Self::Batch => 9_000,
     }
   }
 
-  /// Whether it may run more than once.
+  /// Whether the request may run more than once.
   pub fn repeatable(self) -> bool {
-    matches!(self, Self::Again | Self::Stream | Self::Batch)
+    matches!(self, Self::Repeatable | Self::Stream | Self::Batch)
   }
 }
 
 /// How a request ended for its caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum End {
-  /// A success, and whether it is the whole answer to this very request.
-  Success { own: bool },
-  /// A failure: its status, and whether it comes from a backend server.
+  /// Success; `intact` if the response is complete and belongs to this request.
+  Success { intact: bool },
+  /// Failure with its HTTP status; `signed` if it comes from a backend server.
   Failure { status: u16, signed: bool },
-  /// The answer broke off after its head.
-  Cut,
-  /// The connection ended without an answer.
+  /// The response was truncated after its head.
+  Truncated,
+  /// The connection closed without a response.
   Closed,
-  /// No connection came up.
+  /// The connection could not be established.
   Unreached,
-  /// The caller left on purpose.
+  /// The caller disconnected on purpose.
   Left,
 }
 
 /// A request as its caller saw it.
 #[derive(Clone, Debug)]
-pub struct Sent {
+pub struct Request {
   pub id: String,
   pub kind: Kind,
   pub instance: usize,
-  /// On a connection that had carried others.
+  /// Whether the connection had carried earlier requests.
   pub reused: bool,
   pub at: u64,
   pub ended: u64,
   pub end: End,
-  /// The server whose answer it got.
+  /// The backend server that sent the response.
   pub server: Option<String>,
-  /// The body of a success that is not the whole answer to this very request.
-  pub foreign: Option<String>,
+  /// Body of a successful response that is incomplete or belongs to another request.
+  pub unexpected_body: Option<String>,
 }
 
-/// A request as a backend server saw it.
+/// One execution of a request, as a backend server saw it.
 #[derive(Clone, Debug)]
 pub struct Run {
   pub id: String,
@@ -98,7 +97,7 @@
   pub at: u64,
 }
 
-/// A request that came to a backend server, run or not.
+/// A request that reached a backend server, whether or not it ran.
 #[derive(Clone, Debug)]
 pub struct Arrival {
   pub id: String,
@@ -106,24 +105,24 @@
   pub at: u64,
 }
 
-/// A server said in its answers from a moment on that it leaves.
+/// A server that announces its departure in responses, from `from` on.
 #[derive(Clone, Debug)]
-pub struct Leaver {
+pub struct Departure {
   pub server: String,
   pub from: u64,
 }
 
-/// A server turned a request away, and asked for rest until a moment.
+/// A server declined a request and asked for a backoff until `to`.
 #[derive(Clone, Debug)]
-pub struct Rest {
+pub struct Backoff {
   pub server: String,
-  /// The request.
+  /// Id of the declined request.
   pub id: String,
   pub from: u64,
   pub to: u64,
 }
 
-/// A server named a limit, requests a second, from a moment to another one.
+/// A server announced a rate limit, in requests per second, from `from` until `to`.
 #[derive(Clone, Debug)]
 pub struct Limit {
   pub server: String,
@@ -141,7 +140,7 @@
   pub at: u64,
 }
 
-/// What a fault struck.
+/// What a fault affected.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Target {
   Instance(usize),
@@ -149,33 +148,33 @@
   Store,
 }
 
-/// What a trouble is called that follows a planned stop.
+/// Cause of the incident that follows a planned stop.
 pub const STOPPED: &str = "stopped";
-/// What a trouble is called that stops a process for a while.
+/// Cause of an incident in which a process is suspended.
 pub const FROZEN: &str = "freeze";
 
-/// A fault, while it lasted.
+/// A fault of one target, from its start to its end.
 #[derive(Clone, Debug)]
-pub struct Trouble {
+pub struct Incident {
   pub target: Target,
-  pub what: &'static str,
+  pub cause: &'static str,
   pub from: u64,
-  /// `u64::MAX` while it lasts.
+  /// `u64::MAX` until the incident ends.
   pub to: u64,
 }
 
-/// The newest configuration found in force at an instance.
+/// The newest configuration version that an instance was found to use.
 #[derive(Clone, Copy, Debug)]
 pub struct Probe {
   pub instance: usize,
-  /// Counts the starts of its process.
+  /// Number of process starts, which tells restarted processes apart.
   pub life: u32,
-  /// When the probe began.
+  /// When the probe started.
   pub at: u64,
   pub version: u64,
 }
 
-/// A server held the bounded model from a moment on, and to another one no more.
+/// A server held the bounded model from `from` until `to`.
 #[derive(Clone, Debug)]
 pub struct Hold {
   pub server: String,
@@ -183,92 +182,94 @@
   pub to: u64,
 }
 
-/// Everything a run has seen.
+/// Everything that a run recorded.
 #[derive(Clone, Debug, Default)]
 pub struct History {
-  pub sent: Vec<Sent>,
+  pub requests: Vec<Request>,
   pub runs: Vec<Run>,
-  /// Requests that came to servers which said something in their answers.
+  /// Requests to servers that announced a departure, a backoff or a limit in responses.
   pub arrivals: Vec<Arrival>,
-  pub leavers: Vec<Leaver>,
-  pub rests: Vec<Rest>,
+  pub departures: Vec<Departure>,
+  pub backoffs: Vec<Backoff>,
   pub limits: Vec<Limit>,
   pub orders: Vec<Order>,
-  pub troubles: Vec<Trouble>,
+  pub incidents: Vec<Incident>,
   pub probes: Vec<Probe>,
-  /// Versions that the store acknowledged, and when.
+  /// Configuration versions acknowledged by the store, with times.
   pub configured: Vec<(u64, u64)>,
-  /// Servers that said that they leave, and when.
+  /// Servers that left, by a draining state or by removal of their entry, with times.
   pub drained: Vec<(String, u64)>,
-  /// Loads beyond a server's memory.
-  pub overfull: Vec<(String, u64)>,
-  /// When servers held the bounded model, and whether an order was carried out late.
+  /// Number of loads beyond a server's memory, by server.
+  pub overcommitted: Vec<(String, u64)>,
+  /// When servers held the bounded model; `late_orders` is set if servers may have carried out
+  /// orders late.
   pub holds: Vec<Hold>,
   pub late_orders: bool,
-  /// Servers that crashed, or whose entries went for good, and when.
-  pub gone: Vec<(String, u64)>,
-  /// When the last fault had ended.
-  pub calm_from: u64,
-  /// Longest delay of this process's own threads, ms.
-  pub lag_ms: u64,
+  /// Servers that crashed or whose entries were removed for good, with times.
+  pub removed: Vec<(String, u64)>,
+  /// When the last fault ended.
+  pub faults_ended_at: u64,
+  /// Longest scheduling delay of the threads of this process, in ms.
+  pub max_lag_ms: u64,
 }
 
 impl History {
-  /// Whether a fault at a target lasted at some time between two, ms.
-  pub fn troubled(&self, target: &Target, from: u64, to: u64) -> bool {
-    let mut troubles = self.troubles.iter();
-    troubles.any(|trouble| trouble.target == *target && trouble.from <= to && trouble.to >= from)
+  /// Whether a fault of the target overlaps the time from `from` to `to`, in ms.
+  pub fn had_incident(&self, target: &Target, from: u64, to: u64) -> bool {
+    let mut incidents = self.incidents.iter();
+    incidents
+      .any(|incident| incident.target == *target && incident.from <= to && incident.to >= from)
   }
 }
 
-/// A history that threads write.
-pub struct Book {
+/// Records a history from several threads.
+pub struct Recorder {
   start: Instant,
   history: Mutex<History>,
 }
 
-impl Book {
-  /// An empty history that begins now.
-  pub fn open() -> Self {
+impl Recorder {
+  /// Starts an empty history whose clock starts now.
+  pub fn start() -> Self {
     Self {
       start: Instant::now(),
       history: Mutex::default(),
     }
   }
 
-  /// Milliseconds since the start.
+  /// Returns the time since the start, in ms.
   pub fn now(&self) -> u64 {
     self.start.elapsed().as_millis() as u64
   }
 
-  /// A moment as milliseconds since the start.
-  pub fn at(&self, moment: Instant) -> u64 {
-    moment.saturating_duration_since(self.start).as_millis() as u64
+  /// Converts an instant to ms since the start.
+  pub fn ms_at(&self, instant: Instant) -> u64 {
+    instant.saturating_duration_since(self.start).as_millis() as u64
   }
 
-  /// Writes to the history.
-  pub fn note<T>(&self, write: impl FnOnce(&mut History) -> T) -> T {
+  /// Locks the history and applies `write` to it.
+  pub fn record<T>(&self, write: impl FnOnce(&mut History) -> T) -> T {
     let mut history = self.history.lock().unwrap_or_else(PoisonError::into_inner);
     write(&mut history)
   }
 
-  /// A trouble begins; gives its number.
-  pub fn begin(&self, target: Target, what: &'static str) -> usize {
+  /// Starts an incident and returns its index.
+  pub fn start_incident(&self, target: Target, cause: &'static str) -> usize {
     let from = self.now();
-    self.note(|history| {
-      history.troubles.push(Trouble {
+    self.record(|history| {
+      history.incidents.push(Incident {
         target,
-        what,
+        cause,
         from,
         to: u64::MAX,
       });
-      history.troubles.len() - 1
+      history.incidents.len() - 1
     })
   }
 
-  /// A trouble ends.
-  pub fn end(&self, number: usize) {
+  /// Ends an incident.
+  pub fn end_incident(&self, number: usize) {
     let now = self.now();
-    self.note(|history| history.troubles[number].to = now);
+    self.record(|history| history.incidents[number].to = now);
   }
 }
--- a/soak/src/lib.rs
+++ b/soak/src/lib.rs
@@ -1,6 +1,6 @@
-//! Random faults against real instances of bendsaddle, as processes before stand-ins
-//! of the users' platform, with the promises checked from what callers and backend
-//! servers saw.
+//! Soak test: runs real instances of bendsaddle as processes against stand-ins of the users'
+//! platform, injects random faults, and checks the invariants from what callers and backend
+//! servers observed.
 
 pub mod check;
 pub mod history;
--- a/soak/src/load.rs
+++ b/soak/src/load.rs
@@ -1,6 +1,6 @@
-//! Callers: they send requests of all kinds and write down how each ended.
+//! Callers that send requests of all kinds and record the outcome of each.
 
-use crate::history::{Book, End, Kind, Sent};
+use crate::history::{End, Kind, Recorder, Request};
 use platform_stand_in::{
   client::{self, Answer, Ask},
   deployment::MODELS,
@@ -17,59 +17,67 @@
   time::Duration,
 };
 
-/// Mean pause of a caller between two requests, ms.
-const PAUSE_MS: u64 = 60;
-/// Factor of a burst.
-const BURST: u64 = 6;
-/// Callers that leave before their answer, in hundredths.
-const LEAVE: u32 = 3;
-/// Requests after which a caller takes a new connection, at most.
-const REQUESTS: u32 = 12;
+/// Mean pause of a caller between two requests.
+const MEAN_PAUSE_MS: u64 = 60;
+/// Increase of the request rate per burst, as a multiple of the normal rate.
+const BURST_FACTOR: u64 = 6;
+/// Share of requests whose caller disconnects before the response, in percent.
+const ABANDON_PERCENT: u32 = 3;
+/// Most requests that a caller sends on one connection.
+const MAX_CONNECTION_REQUESTS: u32 = 12;
 
-/// What callers share with the world.
+/// State that callers share with the simulation.
 pub struct Traffic {
-  pub book: Arc<Book>,
-  /// Where each instance is called, and whether a balancer would send there.
+  pub recorder: Arc<Recorder>,
+  /// Address of each instance, and whether a load balancer would send requests there.
   pub instances: Vec<(SocketAddr, AtomicBool)>,
-  /// Bursts under way.
+  /// Number of active bursts.
   pub bursts: AtomicU64,
-  /// Factor on the deadline that callers state: 1, but for a check that must notice.
-  pub patience: u64,
-  pub over: AtomicBool,
+  /// Multiplier of the deadline that callers state: 1, except for the switch `patience`, which the
+  /// deadline check must notice.
+  pub deadline_factor: u64,
+  pub stopped: AtomicBool,
 }
 
-/// Calls one instance until the traffic is over.
-pub fn call(traffic: &Traffic, instance: usize, caller: usize, seed: u64) {
+/// Sends requests to one instance until the traffic stops.
+pub fn run_caller(traffic: &Traffic, instance: usize, caller: usize, seed: u64) {
   let mut rng = SmallRng::seed_from_u64(seed ^ (instance as u64 * 1_000 + caller as u64));
-  let mut kept: Option<(TcpStream, u32)> = None;
+  let mut connection: Option<(TcpStream, u32)> = None;
   let mut number = 0;
-  while !traffic.over.load(Ordering::Relaxed) {
-    let burst = 1 + traffic.bursts.load(Ordering::Relaxed) * BURST;
+  while !traffic.stopped.load(Ordering::Relaxed) {
+    let burst = 1 + traffic.bursts.load(Ordering::Relaxed) * BURST_FACTOR;
     thread::sleep(Duration::from_millis(
-      rng.random_range(1..=PAUSE_MS * 2) / burst,
+      rng.random_range(1..=MEAN_PAUSE_MS * 2) / burst,
     ));
     let (address, ready) = &traffic.instances[instance];
     if !ready.load(Ordering::Relaxed) {
-      kept = None;
+      connection = None;
       continue;
     }
     number += 1;
-    let kind = kind(&mut rng);
+    let kind = random_kind(&mut rng);
     let id = format!("r-{instance}-{caller}-{number}");
-    let model = model(&mut rng, kind);
-    let leaves = rng.random_ratio(LEAVE, 100);
-    let reused = kept.is_some();
-    let at = traffic.book.now();
-    let stated = kind.deadline_ms() * traffic.patience;
+    let model = random_model(&mut rng, kind);
+    let abandons = rng.random_ratio(ABANDON_PERCENT, 100);
+    let reused = connection.is_some();
+    let at = traffic.recorder.now();
+    let stated_deadline_ms = kind.deadline_ms() * traffic.deadline_factor;
     let Outcome {
       end,
-      foreign,
+      unexpected_body,
       server,
-      kept: stream,
-    } = send(kept.take(), *address, kind, &id, &model, (stated, leaves));
-    kept = stream.filter(|(_, requests)| *requests < REQUESTS);
-    let ended = traffic.book.now();
-    let sent = Sent {
+      connection: stream,
+    } = send(
+      connection.take(),
+      *address,
+      kind,
+      &id,
+      &model,
+      (stated_deadline_ms, abandons),
+    );
+    connection = stream.filter(|(_, requests)| *requests < MAX_CONNECTION_REQUESTS);
+    let ended = traffic.recorder.now();
+    let request = Request {
       id,
       kind,
       instance,
@@ -77,68 +85,72 @@
       at,
       ended,
       end,
-      foreign,
+      unexpected_body,
       server,
     };
-    traffic.book.note(|history| history.sent.push(sent));
+    traffic
+      .recorder
+      .record(|history| history.requests.push(request));
   }
 }
 
-fn kind(rng: &mut SmallRng) -> Kind {
+fn random_kind(rng: &mut SmallRng) -> Kind {
   match rng.random_range(0..100) {
     0..25 => Kind::Once,
-    25..50 => Kind::Again,
+    25..50 => Kind::Repeatable,
     50..75 => Kind::Stream,
-    75..90 => Kind::Single,
+    75..90 => Kind::StreamOnce,
     _ => Kind::Batch,
   }
 }
 
-/// Some models are asked for often, the others rarely.
-fn model(rng: &mut SmallRng, kind: Kind) -> Option<String> {
-  let drawn: usize = rng.random_range(0..100);
-  let often = match drawn {
-    0..80 => drawn % 2,
-    _ => 2 + drawn % (MODELS.len() - 2),
+/// Picks a model; two of them get most of the requests.
+fn random_model(rng: &mut SmallRng, kind: Kind) -> Option<String> {
+  let number: usize = rng.random_range(0..100);
+  let index = match number {
+    0..80 => number % 2,
+    _ => 2 + number % (MODELS.len() - 2),
   };
   match kind {
-    Kind::Once | Kind::Again => None,
-    Kind::Batch => Some(MODELS[drawn % MODELS.len()].into()),
-    Kind::Stream | Kind::Single if drawn.is_multiple_of(5) => Some(format!("{}/a1", MODELS[often])),
-    Kind::Stream | Kind::Single => Some(MODELS[often].into()),
+    Kind::Once | Kind::Repeatable => None,
+    Kind::Batch => Some(MODELS[number % MODELS.len()].into()),
+    Kind::Stream | Kind::StreamOnce if number.is_multiple_of(5) => {
+      Some(format!("{}/a1", MODELS[index]))
+    }
+    Kind::Stream | Kind::StreamOnce => Some(MODELS[index].into()),
   }
 }
 
-type Kept = Option<(TcpStream, u32)>;
+type Connection = Option<(TcpStream, u32)>;
 
-/// What came of a request.
+/// Outcome of a request.
 struct Outcome {
   end: End,
-  foreign: Option<String>,
+  unexpected_body: Option<String>,
   server: Option<String>,
-  kept: Kept,
+  connection: Connection,
 }
 
-/// A request that got no answer to read.
+/// Outcome of a request without a response.
 fn unanswered(end: End) -> Outcome {
   Outcome {
     end,
-    foreign: None,
+    unexpected_body: None,
     server: None,
-    kept: None,
+    connection: None,
   }
 }
 
 fn send(
-  kept: Kept,
+  connection: Connection,
   address: SocketAddr,
   kind: Kind,
   id: &str,
   model: &Option<String>,
-  (deadline_ms, leaves): (u64, bool),
+  (deadline_ms, abandons): (u64, bool),
 ) -> Outcome {
-  let (stream, requests) = match kept {
-    Some(kept) => kept,
+  let (stream, requests) = match connection {
+    Some(connection) => connection,
     None => match TcpStream::connect(address) {
       Ok(stream) => (stream, 0),
       Err(_) => return unanswered(End::Unreached),
@@ -146,7 +158,7 @@
   };
   let mut stream = stream;
   let path = format!("/{}/x", kind.route());
-  let ask = Ask {
+  let request = Ask {
     method: "POST",
     path: &path,
     id,
@@ -155,36 +167,36 @@
     headers: &[],
     body: "body",
   };
-  // A connection that has ended is noticed when the answer is read.
-  let _ = client::write(&mut stream, &ask);
-  if leaves {
+  // A closed connection is detected when the response is read.
+  let _ = client::write(&mut stream, &request);
+  if abandons {
     return unanswered(End::Left);
   }
   let Some(answer) = client::read(&mut stream, "POST") else {
     return unanswered(End::Closed);
   };
-  let keeps = answer.whole && answer.keeps();
-  let end = end(kind, id, &answer);
-  let foreign = (end == End::Success { own: false }).then(|| answer.text());
+  let keep_alive = answer.whole && answer.keeps();
+  let end = outcome_end(kind, id, &answer);
+  let unexpected_body = (end == End::Success { intact: false }).then(|| answer.text());
   Outcome {
     end,
-    foreign,
+    unexpected_body,
     server: answer.server(),
-    kept: keeps.then_some((stream, requests + 1)),
+    connection: keep_alive.then_some((stream, requests + 1)),
   }
 }
 
-fn end(kind: Kind, id: &str, answer: &Answer) -> End {
+fn outcome_end(kind: Kind, id: &str, answer: &Answer) -> End {
   if !answer.whole {
-    return End::Cut;
+    return End::Truncated;
   }
   if answer.status == 200 {
     let body = match kind {
-      Kind::Stream | Kind::Single => (1..=EVENTS).map(|number| event(id, number)).collect(),
+      Kind::Stream | Kind::StreamOnce => (1..=EVENTS).map(|number| event(id, number)).collect(),
       _ => whole(id),
     };
-    let own = answer.signed() && answer.text() == body;
-    return End::Success { own };
+    let intact = answer.signed() && answer.text() == body;
+    return End::Success { intact };
   }
   End::Failure {
     status: answer.status,
--- a/soak/src/main.rs
+++ b/soak/src/main.rs
@@ -1,4 +1,4 @@
-//! `soak`: random faults against real instances, by seed.
+//! The `soak` command: injects random faults into real instances, reproducible by seed.
 
 use lexopt::prelude::*;
 use soak::{
@@ -24,20 +24,20 @@
             [--servers N] [--callers N] [--faults-ms MS] [--steps N] [--untimed]
             [--break NAME] [--logs DIR] [--shrink]";
 
-/// Time from the last fault to the end of a run, ms: recovery, then calm requests.
+/// Time from the last fault to the end of a run: recovery, then requests without faults.
 const CALM_MS: u64 = 9_000;
 
 #[derive(Clone)]
 struct Arguments {
   program: PathBuf,
   seeds: Vec<u64>,
-  /// Fresh seeds are played for this long.
+  /// How long random seeds are run, in seconds.
   seconds: u64,
   size: Size,
-  /// Steps of the plan that are played.
+  /// Number of steps of the plan to run.
   steps: usize,
   timed: bool,
-  broken: Option<(&'static str, Break, &'static str)>,
+  switch: Option<(&'static str, Break, &'static str)>,
   logs: Option<PathBuf>,
   shrink: bool,
 }
@@ -60,7 +60,7 @@
     size: Size::default(),
     steps: usize::MAX,
     timed: true,
-    broken: None,
+    switch: None,
     logs: None,
     shrink: false,
   };
@@ -76,14 +76,14 @@
       Long("faults-ms") => arguments.size.faults_ms = parser.value()?.parse()?,
       Long("steps") => arguments.steps = parser.value()?.parse()?,
       Long("untimed") => arguments.timed = false,
-      Long("break") => arguments.broken = Some(switch(&parser.value()?.string()?)?),
+      Long("break") => arguments.switch = Some(parse_switch(&parser.value()?.string()?)?),
       Long("logs") => arguments.logs = Some(parser.value()?.into()),
       Long("shrink") => arguments.shrink = true,
       other => return Err(other.unexpected()),
     }
   }
   if !arguments.program.is_file() {
-    let text = format!("--program: `{}` is no file", arguments.program.display());
+    let text = format!("--program: `{}` is not a file", arguments.program.display());
     return Err(text.into());
   }
   if arguments.size.instances == 0 || arguments.size.servers == 0 {
@@ -92,36 +92,36 @@
   Ok(arguments)
 }
 
-fn switch(name: &str) -> Result<(&'static str, Break, &'static str), lexopt::Error> {
-  let known = Break::ALL.into_iter().find(|(known, ..)| *known == name);
-  known.ok_or_else(|| format!("--break: `{name}` is unknown").into())
+fn parse_switch(name: &str) -> Result<(&'static str, Break, &'static str), lexopt::Error> {
+  let entry = Break::ALL.into_iter().find(|(entry, ..)| *entry == name);
+  entry.ok_or_else(|| format!("--break: `{name}` is unknown").into())
 }
 
 fn run(arguments: &Arguments) -> ExitCode {
   let stop = Arc::new(AtomicBool::new(false));
-  let asked = stop.clone();
-  // Instances end with the run that started them.
-  if let Err(error) = ctrlc::set_handler(move || asked.store(true, Ordering::Relaxed)) {
-    eprintln!("error: signals cannot be handled: {error}");
+  let handler_stop = stop.clone();
+  // On a signal the run ends, which stops the instances it started.
+  if let Err(error) = ctrlc::set_handler(move || handler_stop.store(true, Ordering::Relaxed)) {
+    eprintln!("error: cannot install the signal handler: {error}");
     return ExitCode::FAILURE;
   }
-  let began = Instant::now();
+  let started_at = Instant::now();
   let mut failed = Vec::new();
   let mut seeds = arguments.seeds.clone();
-  let mut played = 0;
+  let mut seeds_run = 0;
   while !stop.load(Ordering::Relaxed) {
-    let fresh = began.elapsed().as_secs() < arguments.seconds;
-    let Some(seed) = seeds.pop().or_else(|| fresh.then(draw)) else {
+    let may_draw = started_at.elapsed().as_secs() < arguments.seconds;
+    let Some(seed) = seeds.pop().or_else(|| may_draw.then(random_seed)) else {
       break;
     };
-    played += 1;
-    if !one(arguments, seed, &stop) {
+    seeds_run += 1;
+    if !run_seed(arguments, seed, &stop) {
       failed.push(seed);
     }
   }
   println!(
-    "{played} seeds in {} s, failed: {failed:?}",
-    began.elapsed().as_secs()
+    "{seeds_run} seeds in {} s, failed: {failed:?}",
+    started_at.elapsed().as_secs()
   );
   match failed.is_empty() {
     true => ExitCode::SUCCESS,
@@ -129,44 +129,47 @@
   }
 }
 
-fn draw() -> u64 {
+fn random_seed() -> u64 {
   let since = SystemTime::now().duration_since(UNIX_EPOCH);
   since.map_or(1, |since| since.as_nanos() as u64 % 1_000_000_007)
 }
 
-/// Plays one seed; whether it kept all promises, or broke the one that a switch breaks.
-fn one(arguments: &Arguments, seed: u64, stop: &AtomicBool) -> bool {
-  let mut steps = match arguments.broken {
-    Some((_, broken, _)) => broken.steps(),
+/// Runs one seed. Returns whether no invariant was violated or, with a switch, whether the
+/// invariant that it breaks was reported.
+fn run_seed(arguments: &Arguments, seed: u64, stop: &AtomicBool) -> bool {
+  let mut steps = match arguments.switch {
+    Some((_, switch, _)) => switch.steps(),
     None => plan::generate(seed, &arguments.size),
   };
   steps.truncate(arguments.steps);
   println!("seed {seed}, {} faults", steps.len());
-  let Some((history, found)) = played(arguments, seed, &steps, stop) else {
+  let Some((history, violations)) = run_plan(arguments, seed, &steps, stop) else {
     return false;
   };
-  report(&history);
+  report_requests(&history);
   report_leaving(&history);
-  if let Some((name, _, promise)) = arguments.broken {
-    let noticed = found.iter().any(|violation| violation.promise == promise);
+  if let Some((name, _, invariant)) = arguments.switch {
+    let noticed = violations
+      .iter()
+      .any(|violation| violation.invariant == invariant);
     println!(
-      "  switch `{name}`: `{promise}` {}",
+      "  switch `{name}`: `{invariant}` {}",
       if noticed { "noticed" } else { "NOT NOTICED" }
     );
     return noticed;
   }
-  if found.is_empty() {
+  if violations.is_empty() {
     return true;
   }
   steps.iter().for_each(|step| println!("  {step}"));
-  print_found(&found);
+  print_violations(&violations);
   if arguments.shrink {
     shrink(arguments, seed, &steps, stop);
   }
   false
 }
 
-fn played(
+fn run_plan(
   arguments: &Arguments,
   seed: u64,
   steps: &[Step],
@@ -185,7 +188,7 @@
     seed,
     size: arguments.size,
     steps: steps.to_vec(),
-    switch: arguments.broken.map(|(_, broken, _)| broken),
+    switch: arguments.switch.map(|(_, switch, _)| switch),
     logs,
     calm_ms: CALM_MS,
   };
@@ -196,74 +199,78 @@
   };
   match simulate(&options, stop) {
     Ok(history) => {
-      let found = check(&history, &bounds);
-      Some((history, found))
+      let violations = check(&history, &bounds);
+      Some((history, violations))
     }
     Err(error) => {
-      eprintln!("error: seed {seed} could not be played: {error}");
+      eprintln!("error: cannot run seed {seed}: {error}");
       None
     }
   }
 }
 
-/// Halves the plan as long as a prefix still fails.
+/// Finds the shortest prefix of the plan that fails, by bisection.
 fn shrink(arguments: &Arguments, seed: u64, steps: &[Step], stop: &AtomicBool) {
-  let (mut passes, mut fails) = (0, steps.len());
-  while fails - passes > 1 && !stop.load(Ordering::Relaxed) {
-    let middle = (passes + fails) / 2;
-    let found = played(arguments, seed, &steps[..middle], stop);
-    match found.is_some_and(|(_, found)| !found.is_empty()) {
-      true => fails = middle,
-      false => passes = middle,
+  let (mut passing, mut failing) = (0, steps.len());
+  while failing - passing > 1 && !stop.load(Ordering::Relaxed) {
+    let middle = (passing + failing) / 2;
+    let violations = run_plan(arguments, seed, &steps[..middle], stop);
+    match violations.is_some_and(|(_, violations)| !violations.is_empty()) {
+      true => failing = middle,
+      false => passing = middle,
     }
   }
-  println!("  shortest prefix that fails: --seed {seed} --steps {fails}");
+  println!("  shortest prefix that fails: --seed {seed} --steps {failing}");
 }
 
-fn print_found(found: &[Violation]) {
-  const MOST: usize = 20;
-  for violation in found.iter().take(MOST) {
-    let Violation { promise, at, text } = violation;
-    println!("  BROKEN {promise} at {at} ms: {text}");
+fn print_violations(violations: &[Violation]) {
+  const MAX_PRINTED: usize = 20;
+  for violation in violations.iter().take(MAX_PRINTED) {
+    let Violation {
+      invariant,
+      at,
+      text,
+    } = violation;
+    println!("  BROKEN {invariant} at {at} ms: {text}");
   }
-  if found.len() > MOST {
-    println!("  and {} more", found.len() - MOST);
+  if violations.len() > MAX_PRINTED {
+    println!("  and {} more", violations.len() - MAX_PRINTED);
   }
 }
 
-/// The latest requests to servers that leave, of instances in touch.
+/// Prints how late the last requests of connected instances to leaving servers came.
 fn report_leaving(history: &History) {
-  let mut after: Vec<u64> = leaving::last(history, &Bounds::default())
+  let mut delays_ms: Vec<u64> = leaving::last_runs(history, &Bounds::default())
     .iter()
     .map(|last| last.after_ms)
     .collect();
-  after.sort_unstable_by_key(|after| std::cmp::Reverse(*after));
+  delays_ms.sort_unstable_by_key(|delay_ms| std::cmp::Reverse(*delay_ms));
   println!(
-    "  {} servers left, last requests after {after:?} ms",
+    "  {} servers left, last requests after {delays_ms:?} ms",
     history.drained.len()
   );
 }
 
-fn report(history: &History) {
+fn report_requests(history: &History) {
   let mut ends: BTreeMap<&str, usize> = BTreeMap::new();
-  for sent in &history.sent {
-    let word = match sent.end {
+  for request in &history.requests {
+    let outcome = match request.end {
       End::Success { .. } => "served",
       End::Failure { status: 503, .. } => "refused",
       End::Failure { .. } => "failed",
-      End::Cut => "cut",
+      End::Truncated => "cut",
       End::Closed => "closed",
       End::Unreached => "unreached",
       End::Left => "left",
     };
-    *ends.entry(word).or_default() += 1;
+    *ends.entry(outcome).or_default() += 1;
   }
   println!(
     "  {} requests {ends:?}, {} runs, {} orders, {} probes, lag {} ms",
-    history.sent.len(),
+    history.requests.len(),
     history.runs.len(),
     history.orders.len(),
     history.probes.len(),
-    history.lag_ms
+    history.max_lag_ms
   );
 }
--- a/soak/src/plan.rs
+++ b/soak/src/plan.rs
@@ -1,44 +1,45 @@
-//! The plan of a run: faults and load, all from a seed.
+//! The plan of a run: faults and load, generated from a seed.
 
 use rand::{Rng, SeedableRng, rngs::SmallRng, seq::IndexedRandom};
 use std::fmt;
 
-/// How a connection is cut.
+/// How connections are cut.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Cut {
-  /// New connections are refused, open ones end.
+  /// New connections are refused and open ones are closed.
   Refuse,
-  /// Nothing passes either way; connections stay.
+  /// No data passes in either direction; connections stay open.
   Silent,
-  /// Questions pass and answers do not.
+  /// Requests pass, but responses do not.
   OneWay,
 }
 
-/// What the platform's store does.
+/// Faults of the platform's store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Store {
   Down,
-  /// Down, and entries of servers lapse meanwhile.
+  /// Refuses calls while the entries of servers expire.
   Lapse,
   Silent,
   Slow,
   LosesAnswers,
   WritesLate,
   Forgets,
-  /// It comes back from a copy that is so many tenths of a second older than its absence.
+  /// Restores an earlier copy after an outage. The value is the age of the copy at the start of the
+  /// outage, in tenths of a second.
   Returns(u32),
-  /// Entries of another writer stand among those of servers.
+  /// Holds entries of another writer among those of servers.
   Foreign,
 }
 
-/// What a server does.
+/// Faults and departures of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Server {
   Crash,
-  /// It crashes and starts again under its id and address.
+  /// Crashes and restarts with the same id and address.
   Restart,
   Drain,
-  /// Its entry goes without a word, and it serves on for a while.
+  /// Its entry is removed without a draining state, and it keeps serving for a while.
   Vanish,
   Slow,
   Fails,
@@ -48,41 +49,41 @@
   OrdersLate,
   Cut(Cut),
   Delay,
-  /// Its answers say that it leaves, while its entry says otherwise.
+  /// Announces its departure in responses, while its entry in the store does not show it.
   Says,
-  /// It turns all requests away, and asks for so many tenths of a second of rest.
+  /// Declines all requests and asks for a backoff, in tenths of a second.
   Rest(u32),
-  /// It needs help, and names so many requests in ten seconds that it takes.
+  /// Is overloaded and announces a limit, in requests per ten seconds.
   Limit(u32),
 }
 
-/// A fault; instances and servers by number.
+/// A fault; instances and servers are given by index.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-  /// SIGKILL; it starts again at the end.
+  /// SIGKILL; the instance restarts when the fault ends.
   Kill(usize),
-  /// SIGSTOP until the end.
+  /// SIGSTOP until the fault ends.
   Freeze(usize),
-  /// SIGTERM; it starts again when it has ended.
+  /// SIGTERM; the instance restarts once the process has exited.
   Stop(usize),
   /// SIGHUP.
   Reload(usize),
-  /// SIGKILL of all.
+  /// SIGKILL of all instances.
   KillAll,
   Store(Store),
   StoreCut(usize, Cut),
   Server(usize, Server),
-  /// Changes of the configuration, one after the other.
+  /// Number of consecutive configuration changes.
   Configure(u32),
-  /// Many times the requests.
+  /// Callers send several times as many requests.
   Burst,
 }
 
-/// A fault with its time, ms since the load began.
+/// A fault with its start, in ms since the load started, and its duration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Step {
   pub at: u64,
-  pub lasts: u64,
+  pub duration_ms: u64,
   pub fault: Fault,
 }
 
@@ -91,20 +92,20 @@
     write!(
       f,
       "{:>6} ms for {:>5} ms: {:?}",
-      self.at, self.lasts, self.fault
+      self.at, self.duration_ms, self.fault
     )
   }
 }
 
-/// Sizes of a run.
+/// Size of a run.
 #[derive(Clone, Copy, Debug)]
 pub struct Size {
   pub instances: usize,
-  /// Model engines, and as many plain servers.
+  /// Number of model engines; there are as many plain servers.
   pub servers: usize,
-  /// Callers of each instance.
+  /// Number of callers per instance.
   pub callers: usize,
-  /// Time in which faults begin, ms.
+  /// Time in which faults start, in ms.
   pub faults_ms: u64,
 }
 
@@ -119,135 +120,147 @@
   }
 }
 
-/// Mean pause between two faults, ms.
-const PAUSE_MS: u64 = 700;
-/// A fault comes with a second one at the same time, in hundredths.
-const TWICE: u32 = 25;
+/// Mean pause between two faults.
+const MEAN_PAUSE_MS: u64 = 700;
+/// Share of faults that are followed by another one at the same time.
+const SIMULTANEOUS_PERCENT: u32 = 25;
 
-/// Seeds below this one keep the plans under which some of them failed once.
-const EXTENDED: u64 = 1_000;
-/// Mean pause between two of the faults that only later seeds have, ms.
+/// First seed whose plan has the extended faults. Seeds below it keep their plans, because
+/// some of them failed once.
+const EXTENDED_FROM_SEED: u64 = 1_000;
+/// Mean pause between two extended faults.
 const EXTENDED_PAUSE_MS: u64 = 3_000;
 
-/// Seeds from this one on have servers that need help.
-const NEEDY: u64 = 10_000;
-/// Mean pause between two of them, ms; each needs help for longer than it takes to be told.
-const NEEDY_PAUSE_MS: u64 = 5_000;
-const NEEDY_MS: std::ops::Range<u64> = 5_000..9_000;
-/// Requests in ten seconds that one names.
-const NEEDY_RATE: std::ops::Range<u32> = 5..60;
+/// First seed whose plan has servers that announce a rate limit.
+const LIMITS_FROM_SEED: u64 = 10_000;
+/// Mean pause between two rate limits. Each lasts longer than instances need to receive it.
+const LIMIT_PAUSE_MS: u64 = 5_000;
+const LIMIT_DURATION_MS: std::ops::Range<u64> = 5_000..9_000;
+/// Announced limit, in requests per ten seconds.
+const LIMIT_PER_10_S: std::ops::Range<u32> = 5..60;
 
-/// Seeds from this one on have nothing but servers that leave beside instances without the
-/// store: other faults would excuse late requests.
-const LEAVING: u64 = 30_000;
-/// Seeds from this one on have such servers among all other faults.
-const LEAVING_TOO: u64 = 20_000;
-/// Mean pause between two of them, ms.
-const LEAVING_PAUSE_MS: u64 = 4_000;
-/// How long the store does not answer the instance, ms: longer than three heartbeats of servers.
-const UNANSWERED_MS: std::ops::Range<u64> = 3_300..5_000;
-/// From the end of that to the departure, ms: while the instance has not noticed it yet.
-const LEAVES_AFTER_MS: std::ops::Range<u64> = 0..1_500;
+/// First seed whose plan has only departures of servers together with instances that are cut off
+/// from the store. Other faults would excuse late requests.
+const DEPARTURES_ONLY_FROM_SEED: u64 = 30_000;
+/// First seed whose plan has such departures among all other faults.
+const DEPARTURES_FROM_SEED: u64 = 20_000;
+/// Mean pause between two such departures.
+const DEPARTURE_PAUSE_MS: u64 = 4_000;
+/// How long the instance is cut off from the store: longer than three heartbeats of servers.
+const STORE_CUT_MS: std::ops::Range<u64> = 3_300..5_000;
+/// Delay from the end of the cut to the departure, short enough that the instance has not yet
+/// noticed that the store is back.
+const DEPARTURE_DELAY_MS: std::ops::Range<u64> = 0..1_500;
 
-/// Seeds from this one on have everything, and servers that say more in their answers; those whose
-/// remainder by four is nothing have only these, beside a store that is down, kills and cuts.
-const SAYING: u64 = 40_000;
-const SAYING_ALONE: u64 = 4;
-/// Mean pause between two of them, ms.
-const SAYING_PAUSE_MS: u64 = 2_500;
-/// Tenths of a second of rest, and how long requests are turned away, ms.
-const REST: std::ops::Range<u32> = 10..40;
-const TURNS_AWAY_MS: std::ops::Range<u64> = 1_000..6_000;
+/// First seed whose plan also has servers that announce departures and backoffs in responses. Seeds
+/// with remainder zero modulo four have only these, together with store outages, kills and cuts.
+const ANNOUNCEMENTS_FROM_SEED: u64 = 40_000;
+const SCENARIO_MODULUS: u64 = 4;
+/// Mean pause between two announcements.
+const ANNOUNCEMENT_PAUSE_MS: u64 = 2_500;
+/// Length of a requested backoff, and how long a server announces its departure or declines
+/// requests.
+const BACKOFF_TENTHS_S: std::ops::Range<u32> = 10..40;
+const ANNOUNCEMENT_DURATION_MS: std::ops::Range<u64> = 1_000..6_000;
 
-/// Seeds from this one on have a store that comes back from copies besides; those whose remainder by
-/// four is one have only this, beside changes of the configuration, departures and kills.
-const RETURNING: u64 = 50_000;
-/// Mean pause between two returns, ms; a part of them comes twice in a row, in hundredths.
-const RETURNING_PAUSE_MS: u64 = 5_000;
-const RETURNING_TWICE: u32 = 30;
-/// Age of a copy, tenths of a second, and how long the store is away, ms.
-const COPY_AGE: std::ops::Range<u32> = 3..40;
-const AWAY_MS: std::ops::Range<u64> = 200..2_600;
+/// First seed whose plan also has a store that is restored from copies. Seeds with remainder one
+/// modulo four have only this, together with configuration changes, departures and kills.
+const RESTORES_FROM_SEED: u64 = 50_000;
+/// Mean pause between two restores, and the share of them followed by a second one.
+const RESTORE_PAUSE_MS: u64 = 5_000;
+const SECOND_RESTORE_PERCENT: u32 = 30;
+/// Age of a copy, and how long the store is down.
+const COPY_AGE_TENTHS_S: std::ops::Range<u32> = 3..40;
+const STORE_DOWN_MS: std::ops::Range<u64> = 200..2_600;
 
-/// Draws a plan; the same seed and size give the same.
+/// Generates a plan; the same seed and size give the same plan.
 pub fn generate(seed: u64, size: &Size) -> Vec<Step> {
-  if (LEAVING..SAYING).contains(&seed) {
-    return leaving(seed, size);
+  if (DEPARTURES_ONLY_FROM_SEED..ANNOUNCEMENTS_FROM_SEED).contains(&seed) {
+    return departure_steps(seed, size);
   }
-  if seed >= RETURNING && seed % SAYING_ALONE == 1 {
-    return returning(seed, size, true);
+  if seed >= RESTORES_FROM_SEED && seed % SCENARIO_MODULUS == 1 {
+    return restore_steps(seed, size, true);
   }
-  if seed >= SAYING && seed.is_multiple_of(SAYING_ALONE) {
-    return saying(seed, size, true);
+  if seed >= ANNOUNCEMENTS_FROM_SEED && seed.is_multiple_of(SCENARIO_MODULUS) {
+    return announcement_steps(seed, size, true);
   }
-  let mut steps = first(seed, size);
-  if seed >= EXTENDED {
-    steps.extend(further(seed, size));
+  let mut steps = base_steps(seed, size);
+  if seed >= EXTENDED_FROM_SEED {
+    steps.extend(extended_steps(seed, size));
   }
-  if seed >= NEEDY {
-    steps.extend(needy(seed, size));
+  if seed >= LIMITS_FROM_SEED {
+    steps.extend(limit_steps(seed, size));
   }
-  if seed >= LEAVING_TOO {
-    steps.extend(leaving(seed, size));
+  if seed >= DEPARTURES_FROM_SEED {
+    steps.extend(departure_steps(seed, size));
   }
-  if seed >= SAYING {
-    steps.extend(saying(seed, size, false));
+  if seed >= ANNOUNCEMENTS_FROM_SEED {
+    steps.extend(announcement_steps(seed, size, false));
   }
-  if seed >= RETURNING {
-    steps.extend(returning(seed, size, false));
+  if seed >= RESTORES_FROM_SEED {
+    steps.extend(restore_steps(seed, size, false));
   }
   steps.sort_by_key(|step| step.at);
   steps
 }
 
-/// Servers that leave without a word when the store answers an instance again.
-fn leaving(seed: u64, size: &Size) -> Vec<Step> {
+/// Servers whose entry is removed just after an instance reaches the store again.
+fn departure_steps(seed: u64, size: &Size) -> Vec<Step> {
   let mut rng = SmallRng::seed_from_u64(seed.rotate_left(16));
   let mut steps = Vec::new();
-  let mut at = rng.random_range(0..LEAVING_PAUSE_MS / 2);
+  let mut at = rng.random_range(0..DEPARTURE_PAUSE_MS / 2);
   while at < size.faults_ms {
     let instance = rng.random_range(0..size.instances);
-    let lasts = rng.random_range(UNANSWERED_MS);
+    let duration_ms = rng.random_range(STORE_CUT_MS);
     steps.push(Step {
       at,
-      lasts,
-      fault: Fault::StoreCut(instance, cut(&mut rng)),
+      duration_ms,
+      fault: Fault::StoreCut(instance, random_cut(&mut rng)),
     });
     let server = size.servers + rng.random_range(0..size.servers);
     steps.push(Step {
-      at: at + lasts + rng.random_range(LEAVES_AFTER_MS),
-      lasts: 1,
+      at: at + duration_ms + rng.random_range(DEPARTURE_DELAY_MS),
+      duration_ms: 1,
       fault: Fault::Server(server, Server::Vanish),
     });
     steps.retain(|step| step.at < size.faults_ms);
-    at += rng.random_range(LEAVING_PAUSE_MS / 3..LEAVING_PAUSE_MS * 5 / 3);
+    at += rng.random_range(DEPARTURE_PAUSE_MS / 3..DEPARTURE_PAUSE_MS * 5 / 3);
   }
   steps.sort_by_key(|step| step.at);
   steps
 }
 
-/// A store that comes back from copies; `alone`: with what it may bring back or lose.
-fn returning(seed: u64, size: &Size, alone: bool) -> Vec<Step> {
+/// A store that is restored from copies. If `isolated`, the plan also has faults whose effects the
+/// restore may undo or lose.
+fn restore_steps(seed: u64, size: &Size, isolated: bool) -> Vec<Step> {
   let mut rng = SmallRng::seed_from_u64(seed.rotate_left(24));
   let mut steps = Vec::new();
   let mut at = rng
-    .random_range(0..RETURNING_PAUSE_MS)
+    .random_range(0..RESTORE_PAUSE_MS)
     .min(size.faults_ms - 1);
   while at < size.faults_ms {
-    let age = rng.random_range(COPY_AGE);
-    let lasts = rng.random_range(AWAY_MS);
+    let age = rng.random_range(COPY_AGE_TENTHS_S);
+    let duration_ms = rng.random_range(STORE_DOWN_MS);
     let fault = Fault::Store(Store::Returns(age));
-    steps.push(Step { at, lasts, fault });
-    let back = at + u64::from(age) * 100 + lasts;
-    if rng.random_ratio(RETURNING_TWICE, 100) {
-      let at = back + rng.random_range(0..500);
-      let lasts = rng.random_range(AWAY_MS);
-      let fault = Fault::Store(Store::Returns(rng.random_range(COPY_AGE)));
-      steps.push(Step { at, lasts, fault });
+    steps.push(Step {
+      at,
+      duration_ms,
+      fault,
+    });
+    let restored_at = at + u64::from(age) * 100 + duration_ms;
+    if rng.random_ratio(SECOND_RESTORE_PERCENT, 100) {
+      let at = restored_at + rng.random_range(0..500);
+      let duration_ms = rng.random_range(STORE_DOWN_MS);
+      let fault = Fault::Store(Store::Returns(rng.random_range(COPY_AGE_TENTHS_S)));
+      steps.push(Step {
+        at,
+        duration_ms,
+        fault,
+      });
     }
-    if alone {
-      let within = at..back + 1_000;
-      let other = match rng.random_range(0..4) {
+    if isolated {
+      let within = at..restored_at + 1_000;
+      let other_fault = match rng.random_range(0..4) {
         0 => Fault::Kill(rng.random_range(0..size.instances)),
         1 => Fault::Configure(rng.random_range(1..4)),
         2 => Fault::Server(rng.random_range(0..size.servers * 2), Server::Drain),
@@ -255,68 +268,74 @@
       };
       steps.push(Step {
         at: rng.random_range(within),
-        lasts: rng.random_range(200..2_000),
-        fault: other,
+        duration_ms: rng.random_range(200..2_000),
+        fault: other_fault,
       });
     }
     steps.retain(|step| step.at < size.faults_ms);
-    at = back + rng.random_range(RETURNING_PAUSE_MS / 3..RETURNING_PAUSE_MS * 5 / 3);
+    at = restored_at + rng.random_range(RESTORE_PAUSE_MS / 3..RESTORE_PAUSE_MS * 5 / 3);
   }
   steps.sort_by_key(|step| step.at);
   steps
 }
 
-/// Servers that say in their answers that they leave, or ask for rest; `alone`: with faults that
-/// hide it from other instances.
-fn saying(seed: u64, size: &Size, alone: bool) -> Vec<Step> {
+/// Servers that announce their departure or ask for a backoff in responses. If `isolated`, the plan
+/// also has faults that hide the announcement from other instances.
+fn announcement_steps(seed: u64, size: &Size, isolated: bool) -> Vec<Step> {
   let mut rng = SmallRng::seed_from_u64(seed.rotate_left(48));
   let mut steps = Vec::new();
-  let mut at = rng.random_range(0..SAYING_PAUSE_MS).min(size.faults_ms - 1);
+  let mut at = rng
+    .random_range(0..ANNOUNCEMENT_PAUSE_MS)
+    .min(size.faults_ms - 1);
   while at < size.faults_ms {
     let server = rng.random_range(0..size.servers * 2);
-    let says = match rng.random_bool(0.5) {
+    let behavior = match rng.random_bool(0.5) {
       true => Server::Says,
-      false => Server::Rest(rng.random_range(REST)),
+      false => Server::Rest(rng.random_range(BACKOFF_TENTHS_S)),
     };
     steps.push(Step {
       at,
-      lasts: rng.random_range(TURNS_AWAY_MS),
-      fault: Fault::Server(server, says),
+      duration_ms: rng.random_range(ANNOUNCEMENT_DURATION_MS),
+      fault: Fault::Server(server, behavior),
     });
-    if alone {
+    if isolated {
       let instance = rng.random_range(0..size.instances);
       let fault = match rng.random_range(0..4) {
         0 => Fault::Kill(instance),
-        1 => Fault::StoreCut(instance, cut(&mut rng)),
+        1 => Fault::StoreCut(instance, random_cut(&mut rng)),
         _ => Fault::Store(Store::Down),
       };
-      let lasts = rng.random_range(500..4_500);
-      steps.push(Step { at, lasts, fault });
+      let duration_ms = rng.random_range(500..4_500);
+      steps.push(Step {
+        at,
+        duration_ms,
+        fault,
+      });
     }
-    at += rng.random_range(SAYING_PAUSE_MS / 3..SAYING_PAUSE_MS * 5 / 3);
+    at += rng.random_range(ANNOUNCEMENT_PAUSE_MS / 3..ANNOUNCEMENT_PAUSE_MS * 5 / 3);
   }
   steps
 }
 
-/// Servers that name limits.
-fn needy(seed: u64, size: &Size) -> Vec<Step> {
+/// Servers that announce rate limits.
+fn limit_steps(seed: u64, size: &Size) -> Vec<Step> {
   let mut rng = SmallRng::seed_from_u64(seed.rotate_left(32));
   let mut steps = Vec::new();
-  let mut at = rng.random_range(0..NEEDY_PAUSE_MS).min(size.faults_ms - 1);
+  let mut at = rng.random_range(0..LIMIT_PAUSE_MS).min(size.faults_ms - 1);
   while at < size.faults_ms {
     let server = rng.random_range(0..size.servers * 2);
     steps.push(Step {
       at,
-      lasts: rng.random_range(NEEDY_MS),
-      fault: Fault::Server(server, Server::Limit(rng.random_range(NEEDY_RATE))),
+      duration_ms: rng.random_range(LIMIT_DURATION_MS),
+      fault: Fault::Server(server, Server::Limit(rng.random_range(LIMIT_PER_10_S))),
     });
-    at += rng.random_range(NEEDY_PAUSE_MS / 3..NEEDY_PAUSE_MS * 5 / 3);
+    at += rng.random_range(LIMIT_PAUSE_MS / 3..LIMIT_PAUSE_MS * 5 / 3);
   }
   steps
 }
 
-/// Servers that start again under their ids, and entries of other writers.
-fn further(seed: u64, size: &Size) -> Vec<Step> {
+/// Servers that restart with the same id, and entries of other writers in the store.
+fn extended_steps(seed: u64, size: &Size) -> Vec<Step> {
   let mut rng = SmallRng::seed_from_u64(!seed);
   let mut steps = Vec::new();
   let mut at = rng
@@ -330,7 +349,7 @@
     };
     steps.push(Step {
       at,
-      lasts: rng.random_range(50..2_000),
+      duration_ms: rng.random_range(50..2_000),
       fault,
     });
     at += rng.random_range(EXTENDED_PAUSE_MS / 3..EXTENDED_PAUSE_MS * 5 / 3);
@@ -338,28 +357,28 @@
   steps
 }
 
-fn first(seed: u64, size: &Size) -> Vec<Step> {
+fn base_steps(seed: u64, size: &Size) -> Vec<Step> {
   let mut rng = SmallRng::seed_from_u64(seed);
   let mut steps = Vec::new();
   let mut at = 500;
   while at < size.faults_ms {
-    steps.push(step(&mut rng, size, at));
-    if !rng.random_ratio(TWICE, 100) {
-      at += rng.random_range(PAUSE_MS / 3..PAUSE_MS * 5 / 3);
+    steps.push(random_step(&mut rng, size, at));
+    if !rng.random_ratio(SIMULTANEOUS_PERCENT, 100) {
+      at += rng.random_range(MEAN_PAUSE_MS / 3..MEAN_PAUSE_MS * 5 / 3);
     }
   }
   steps
 }
 
-fn step(rng: &mut SmallRng, size: &Size, at: u64) -> Step {
+fn random_step(rng: &mut SmallRng, size: &Size, at: u64) -> Step {
   Step {
     at,
-    lasts: rng.random_range(500..4_500),
-    fault: fault(rng, size),
+    duration_ms: rng.random_range(500..4_500),
+    fault: random_fault(rng, size),
   }
 }
 
-fn fault(rng: &mut SmallRng, size: &Size) -> Fault {
+fn random_fault(rng: &mut SmallRng, size: &Size) -> Fault {
   let instance = rng.random_range(0..size.instances);
   match rng.random_range(0..100) {
     0..8 => Fault::Kill(instance),
@@ -367,24 +386,24 @@
     16..22 => Fault::Stop(instance),
     22..26 => Fault::Reload(instance),
     26..28 => Fault::KillAll,
-    28..44 => Fault::Store(store(rng)),
-    44..54 => Fault::StoreCut(instance, cut(rng)),
-    54..84 => Fault::Server(rng.random_range(0..size.servers * 2), server(rng)),
+    28..44 => Fault::Store(random_store(rng)),
+    44..54 => Fault::StoreCut(instance, random_cut(rng)),
+    54..84 => Fault::Server(rng.random_range(0..size.servers * 2), random_server(rng)),
     84..96 => Fault::Configure(rng.random_range(1..5)),
     _ => Fault::Burst,
   }
 }
 
-fn pick<T: Copy>(rng: &mut SmallRng, among: &[T]) -> T {
-  *among.choose(rng).expect("something to choose from")
+fn pick<T: Copy>(rng: &mut SmallRng, options: &[T]) -> T {
+  *options.choose(rng).expect("no options to choose from")
 }
 
-fn cut(rng: &mut SmallRng) -> Cut {
+fn random_cut(rng: &mut SmallRng) -> Cut {
   pick(rng, &[Cut::Refuse, Cut::Silent, Cut::OneWay])
 }
 
-fn store(rng: &mut SmallRng) -> Store {
-  let all = [
+fn random_store(rng: &mut SmallRng) -> Store {
+  let options = [
     Store::Down,
     Store::Lapse,
     Store::Silent,
@@ -393,12 +412,12 @@
     Store::WritesLate,
     Store::Forgets,
   ];
-  pick(rng, &all)
+  pick(rng, &options)
 }
 
-fn server(rng: &mut SmallRng) -> Server {
-  let cut = Server::Cut(cut(rng));
-  let all = [
+fn random_server(rng: &mut SmallRng) -> Server {
+  let cut = Server::Cut(random_cut(rng));
+  let options = [
     Server::Crash,
     Server::Crash,
     Server::Drain,
@@ -413,5 +432,5 @@
     cut,
     Server::Delay,
   ];
-  pick(rng, &all)
+  pick(rng, &options)
 }
--- a/soak/src/said.rs
+++ b/soak/src/said.rs
@@ -1,83 +1,87 @@
-//! What servers say in their answers against what came to them afterwards, as they saw it.
+//! Compares what servers announce in responses with the requests that reach them afterwards.
 
-use crate::history::{Arrival, FROZEN, History, Rest, STOPPED, Sent, Target};
+use crate::history::{Arrival, Backoff, FROZEN, History, Request, STOPPED, Target};
 use std::collections::{BTreeMap, HashMap};
 
-/// A request that came to a server after its instance had passed on that the server leaves.
+/// A request to a server from an instance that had already relayed the server's departure notice.
 #[derive(Clone, Copy, Debug)]
-pub struct After<'a> {
+pub struct LateArrival<'a> {
   pub arrival: &'a Arrival,
   pub after_ms: u64,
 }
 
-fn by_id(history: &History) -> HashMap<&str, &Sent> {
-  let sent = history.sent.iter();
-  sent.map(|one| (one.id.as_str(), one)).collect()
+fn requests_by_id(history: &History) -> HashMap<&str, &Request> {
+  let requests = history.requests.iter();
+  requests.map(|one| (one.id.as_str(), one)).collect()
 }
 
-/// Whether an instance was started again or stood still between two times: it may have forgotten.
-fn forgot(history: &History, instance: usize, from: u64, to: u64) -> bool {
+/// Whether an instance was restarted or frozen between two times, so that its state may be lost.
+fn may_have_lost_state(history: &History, instance: usize, from: u64, to: u64) -> bool {
   let target = Target::Instance(instance);
-  let mut troubles = history.troubles.iter();
-  troubles.any(|trouble| {
-    let forgets = matches!(trouble.what, FROZEN | STOPPED | "kill");
-    forgets && trouble.target == target && trouble.from <= to && trouble.to >= from
+  let mut incidents = history.incidents.iter();
+  incidents.any(|incident| {
+    let loses_state = matches!(incident.cause, FROZEN | STOPPED | "kill");
+    loses_state && incident.target == target && incident.from <= to && incident.to >= from
   })
 }
 
-/// The last request of each instance to each server after the answer that said that it leaves.
-pub fn after_leaving(history: &History) -> Vec<After<'_>> {
-  let sent = by_id(history);
-  let mut last: BTreeMap<(&str, usize), After> = BTreeMap::new();
-  for leaver in &history.leavers {
-    let told = |instance: usize| {
-      let answers = history.sent.iter();
+/// Returns the last request of each instance to each server after a response with the server's
+/// departure notice.
+pub fn last_arrivals_after_departure(history: &History) -> Vec<LateArrival<'_>> {
+  let requests = requests_by_id(history);
+  let mut last: BTreeMap<(&str, usize), LateArrival> = BTreeMap::new();
+  for departure in &history.departures {
+    let notice_times = |instance: usize| {
+      let answers = history.requests.iter();
       let answers = answers.filter(move |one| {
         one.instance == instance
-          && one.server.as_ref() == Some(&leaver.server)
-          // Begun before, its answer may have been too.
-          && one.at >= leaver.from
+          && one.server.as_ref() == Some(&departure.server)
+          // A request sent earlier may have a response that was started before the notice.
+          && one.at >= departure.from
       });
       answers.map(|one| one.ended)
     };
     let arrivals = history.arrivals.iter();
-    for arrival in arrivals.filter(|one| one.server == leaver.server) {
-      let Some(sent) = sent.get(arrival.id.as_str()) else {
+    for arrival in arrivals.filter(|one| one.server == departure.server) {
+      let Some(request) = requests.get(arrival.id.as_str()) else {
         continue;
       };
-      let remembered = told(sent.instance)
-        .filter(|told| *told <= arrival.at && !forgot(history, sent.instance, *told, arrival.at));
-      let Some(told) = remembered.min() else {
+      let remembered = notice_times(request.instance).filter(|time| {
+        *time <= arrival.at && !may_have_lost_state(history, request.instance, *time, arrival.at)
+      });
+      let Some(first) = remembered.min() else {
         continue;
       };
-      let after_ms = arrival.at - told;
-      let entry = last.entry((&leaver.server, sent.instance));
-      let entry = entry.or_insert(After { arrival, after_ms });
+      let after_ms = arrival.at - first;
+      let entry = last.entry((&departure.server, request.instance));
+      let entry = entry.or_insert(LateArrival { arrival, after_ms });
       if after_ms > entry.after_ms {
-        *entry = After { arrival, after_ms };
+        *entry = LateArrival { arrival, after_ms };
       }
     }
   }
   last.into_values().collect()
 }
 
-/// Rests, with the requests that the instance which was asked for rest sent in them, but for those
-/// that may have crossed the answer, ms.
-pub fn in_rests(history: &History, crossing_ms: u64) -> Vec<(&Rest, usize)> {
-  let sent = by_id(history);
-  let instance = |id: &str| sent.get(id).map(|sent| sent.instance);
-  let rests = history.rests.iter();
-  let rests = rests.filter_map(|rest| {
-    let asked = instance(&rest.id)?;
-    if history.troubled(&Target::Instance(asked), rest.from, rest.to) {
+/// Returns each backoff with the number of requests that its receiver sent during it. Requests
+/// within `in_flight_ms` of its start are not counted, since they may have been in flight.
+pub fn requests_in_backoffs(history: &History, in_flight_ms: u64) -> Vec<(&Backoff, usize)> {
+  let requests = requests_by_id(history);
+  let instance = |id: &str| requests.get(id).map(|request| request.instance);
+  let backoffs = history.backoffs.iter();
+  let backoffs = backoffs.filter_map(|backoff| {
+    let receiver = instance(&backoff.id)?;
+    if history.had_incident(&Target::Instance(receiver), backoff.from, backoff.to) {
       return None;
     }
-    let within = rest.from + crossing_ms..rest.to;
+    let within = backoff.from + in_flight_ms..backoff.to;
     let arrivals = history.arrivals.iter();
-    let got = arrivals.filter(|one| {
-      one.server == rest.server && within.contains(&one.at) && instance(&one.id) == Some(asked)
+    let received = arrivals.filter(|one| {
+      one.server == backoff.server
+        && within.contains(&one.at)
+        && instance(&one.id) == Some(receiver)
     });
-    Some((rest, got.count()))
+    Some((backoff, received.count()))
   });
-  rests.collect()
+  backoffs.collect()
 }
--- a/soak/src/switch.rs
+++ b/soak/src/switch.rs
@@ -1,40 +1,40 @@
-//! Switches that break a mechanism, so that the checks can be checked.
+//! Switches that break a mechanism, to verify that the checks notice it.
 
 use crate::plan::{Fault, Server, Step};
 
-/// A switch that breaks a mechanism: the check named must notice.
+/// A switch that breaks one mechanism; the check named in `Break::ALL` must notice it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Break {
-  /// A call that may not be repeated is configured as one that may.
+  /// The route for requests that must not be repeated is configured as repeatable.
   Repeat,
-  /// Servers run what they say they did not run.
+  /// Servers run requests that they report as not run.
   Lie,
-  /// Servers answer with another request's answer.
+  /// Servers send the response of another request.
   Mix,
-  /// One instance takes the lease of orders early.
+  /// All instances but the first have a shorter lease and take over orders too early.
   Lease,
-  /// Instances are given less time for a planned stop than it takes.
+  /// Instances get less time for a planned stop than they need.
   Grace,
-  /// One instance does not hear from the store.
+  /// One instance receives nothing from the store.
   Deaf,
-  /// Servers leave without a word.
+  /// Servers do not update their entry in the store when they start to leave.
   Leave,
-  /// The configuration names more memory than servers have.
+  /// The configuration states more memory for models than servers have.
   Memory,
-  /// Callers state a longer deadline than they keep.
+  /// Callers state a longer deadline than the one that is checked.
   Patience,
   /// No policy bounds the replicas.
   Policy,
-  /// Servers in need do not name their limits.
+  /// Overloaded servers do not announce their limits.
   Limit,
-  /// Servers that leave do not say so in their answers.
+  /// Servers that leave do not announce it in responses.
   Say,
-  /// Servers that turn requests away do not ask for rest.
+  /// Servers that decline requests do not ask for a backoff.
   Rest,
 }
 
 impl Break {
-  /// All switches, by name, with the promise whose check must notice.
+  /// All switches: name, value, and the invariant whose check must notice it.
   pub const ALL: [(&'static str, Self, &'static str); 13] = [
     ("repeat", Self::Repeat, "once"),
     ("lie", Self::Lie, "refusal"),
@@ -51,9 +51,13 @@
     ("rest", Self::Rest, "rest"),
   ];
 
-  /// The faults in which the broken mechanism shows.
+  /// Returns the faults that reveal the broken mechanism.
   pub fn steps(self) -> Vec<Step> {
-    let step = |at, lasts, fault| Step { at, lasts, fault };
+    let step = |at, duration_ms, fault| Step {
+      at,
+      duration_ms,
+      fault,
+    };
     match self {
       Self::Grace => vec![
         step(1_000, 0, Fault::Stop(0)),
@@ -63,7 +67,7 @@
         .map(|n| step(500 + n * 1_000, 0, Fault::Configure(1)))
         .collect(),
       Self::Leave => vec![step(500, 0, Fault::Server(5, Server::Drain))],
-      // A third replica is loaded only where requests find the others too slow.
+      // A third replica is loaded only if requests find the other replicas too slow.
       Self::Policy => (0..4)
         .map(|engine| step(300, 7_000, Fault::Server(engine, Server::Slow)))
         .chain([step(300, 7_000, Fault::Burst)])
@@ -71,7 +75,7 @@
       Self::Limit => vec![step(500, 7_000, Fault::Server(5, Server::Limit(10)))],
       Self::Say => vec![step(500, 5_000, Fault::Server(5, Server::Says))],
       Self::Rest => vec![step(500, 5_000, Fault::Server(5, Server::Rest(20)))],
-      // What only this server held is loaded where there is no room.
+      // Models that only this server held are loaded on servers without free memory.
       Self::Memory => vec![step(500, 500, Fault::Server(0, Server::Crash))],
       Self::Repeat | Self::Lie | Self::Mix | Self::Lease | Self::Patience => {
         vec![step(300, 4_000, Fault::Burst)]
--- a/soak/src/world/configuration.rs
+++ b/soak/src/world/configuration.rs
@@ -1,4 +1,4 @@
-//! The configuration in force, and what servers do under it.
+//! The current configuration, and the default behavior of servers.
 
 use super::{World, lock};
 use crate::switch::Break;
@@ -10,26 +10,26 @@
 use serde_json::{Value, json};
 use std::time::Duration;
 
-/// The model whose replicas a policy bounds.
-pub(super) const BOUNDED: &str = MODELS[0];
-/// Most replicas of the bounded model.
-const REPLICAS: u32 = 2;
+/// Model whose number of replicas is bounded by a policy.
+pub(super) const BOUNDED_MODEL: &str = MODELS[0];
+/// Most replicas that the policy allows.
+const MAX_REPLICAS: u32 = 2;
 
-/// Writes the policy that bounds the replicas of `BOUNDED`.
-pub(super) fn bound(store: &Store) {
-  let spec = json!({ "models": { "matchLabels": { "model": BOUNDED } },
-    "maxReplicas": REPLICAS, "minReplicas": 1 });
+/// Writes the policy that bounds the replicas of `BOUNDED_MODEL`.
+pub(super) fn write_policy(store: &Store) {
+  let spec = json!({ "models": { "matchLabels": { "model": BOUNDED_MODEL } },
+    "maxReplicas": MAX_REPLICAS, "minReplicas": 1 });
   store.put("bendsaddle-policies", "bounded", spec);
 }
 
 impl World {
-  /// What all servers do where no fault says otherwise.
-  pub(super) fn mood(&self) -> Mood {
+  /// Behavior of all servers without a fault.
+  pub(super) fn default_mood(&self) -> Mood {
     let mut mood = Mood {
       work: Duration::from_millis(20),
       ..Mood::default()
     };
-    match self.broken {
+    match self.switch {
       Some(Break::Limit | Break::Say | Break::Rest) => mood.unnamed = true,
       Some(Break::Lie) => mood.lie = 5,
       Some(Break::Mix) => mood.mix = 5,
@@ -41,28 +41,29 @@
     mood
   }
 
-  /// Writes the version in force once more.
-  pub(super) fn configure_again(&self) {
+  /// Writes the current version again.
+  pub(super) fn rewrite_configuration(&self) {
     let version = lock(&self.version);
-    let spec = configuration(*version, self.broken);
+    let spec = configuration(*version, self.switch);
     self.store.put("config", "main", spec);
   }
 
-  /// Writes the next version of the configuration: each has one route of its own.
+  /// Writes the next version of the configuration. Each version has a route of its own, by which
+  /// probes recognize it.
   pub(super) fn configure(&self) {
     let mut version = lock(&self.version);
     *version += 1;
-    let spec = configuration(*version, self.broken);
+    let spec = configuration(*version, self.switch);
     self.store.put("config", "main", spec);
-    let at = self.book.now();
+    let at = self.recorder.now();
     self
-      .book
-      .note(|history| history.configured.push((*version, at)));
+      .recorder
+      .record(|history| history.configured.push((*version, at)));
   }
 }
 
-fn configuration(version: u64, broken: Option<Break>) -> Value {
-  let once = match broken {
+fn configuration(version: u64, switch: Option<Break>) -> Value {
+  let once = match switch {
     Some(Break::Repeat) => "safe",
     _ => "unsafe",
   };
@@ -77,7 +78,7 @@
     route(&format!("version-{version}"), "safe", "plain"),
   ];
   let mut spec = config(version, &routes, &MODELS);
-  if broken == Some(Break::Memory) {
+  if switch == Some(Break::Memory) {
     spec["services"][1]["engine"]["weights_mb"] = json!(450.0);
   }
   spec
--- a/soak/src/world/faults.rs
+++ b/soak/src/world/faults.rs
@@ -1,6 +1,6 @@
-//! Faults of a plan, each begun at its time in a thread of its own.
+//! Injects the faults of a plan.
 
-use super::{World, rest};
+use super::{World, sleep_until_stopped};
 use crate::plan::{Cut, Fault, Step};
 use stand_ins::proxy::{Fault as ProxyFault, Proxy};
 use std::{
@@ -12,72 +12,72 @@
   time::Duration,
 };
 
-/// Pause between two changes of a series.
-const SERIES: Duration = Duration::from_millis(200);
+/// Pause between two configuration changes of one fault.
+const CHANGE_PAUSE: Duration = Duration::from_millis(200);
 
 impl World {
-  /// Begins each fault at its time, in a thread of its own.
-  pub(super) fn strike(
+  /// Starts each fault at its time, in its own thread.
+  pub(super) fn inject_all(
     self: &Arc<Self>,
     steps: &[Step],
     stop: &AtomicBool,
   ) -> Vec<thread::JoinHandle<()>> {
-    let began = self.book.now();
+    let started_at = self.recorder.now();
     let mut threads = Vec::new();
     for step in steps {
-      let wait = (began + step.at).saturating_sub(self.book.now());
-      rest(wait, stop);
+      let wait = (started_at + step.at).saturating_sub(self.recorder.now());
+      sleep_until_stopped(wait, stop);
       if stop.load(Ordering::Relaxed) {
         break;
       }
       let (world, step) = (self.clone(), *step);
-      threads.push(thread::spawn(move || world.fault(&step)));
+      threads.push(thread::spawn(move || world.inject(&step)));
     }
     threads
   }
 
-  fn fault(&self, step: &Step) {
-    let lasts = Duration::from_millis(step.lasts);
+  fn inject(&self, step: &Step) {
+    let duration = Duration::from_millis(step.duration_ms);
     match step.fault {
-      Fault::Kill(instance) => self.kill(instance, lasts),
+      Fault::Kill(instance) => self.kill(instance, duration),
       Fault::KillAll => thread::scope(|scope| {
         for instance in 0..self.members.len() {
-          scope.spawn(move || self.kill(instance, lasts));
+          scope.spawn(move || self.kill(instance, duration));
         }
       }),
-      Fault::Freeze(instance) => self.freeze(instance, lasts),
+      Fault::Freeze(instance) => self.freeze(instance, duration),
       Fault::Stop(instance) => self.stop(instance),
       Fault::Reload(instance) => self.reload(instance),
-      Fault::Store(fault) => self.store(fault, lasts),
-      Fault::StoreCut(instance, cut) => self.cut_from_store(instance, cut, lasts),
-      Fault::Server(place, fault) => self.server(place, fault, lasts),
-      Fault::Configure(changes) => self.series(changes),
-      Fault::Burst => self.burst(lasts),
+      Fault::Store(fault) => self.inject_store_fault(fault, duration),
+      Fault::StoreCut(instance, cut) => self.cut_from_store(instance, cut, duration),
+      Fault::Server(slot, fault) => self.inject_server_fault(slot, fault, duration),
+      Fault::Configure(changes) => self.configure_repeatedly(changes),
+      Fault::Burst => self.burst(duration),
     }
   }
 
-  fn series(&self, changes: u32) {
+  fn configure_repeatedly(&self, changes: u32) {
     for _ in 0..changes {
       self.configure();
-      thread::sleep(SERIES);
+      thread::sleep(CHANGE_PAUSE);
     }
   }
 
-  fn burst(&self, lasts: Duration) {
+  fn burst(&self, duration: Duration) {
     self.traffic.bursts.fetch_add(1, Ordering::Relaxed);
-    thread::sleep(lasts);
+    thread::sleep(duration);
     self.traffic.bursts.fetch_sub(1, Ordering::Relaxed);
   }
 }
 
-/// Cuts the connections of a proxy for a time.
-pub(super) fn sever(proxy: &Proxy, cut: Cut, lasts: Duration) {
+/// Cuts the connections of a proxy for `duration`.
+pub(super) fn cut_temporarily(proxy: &Proxy, cut: Cut, duration: Duration) {
   match cut {
     Cut::Refuse => proxy.fault(ProxyFault::Refuse),
     Cut::Silent => proxy.hold(true, true),
     Cut::OneWay => proxy.hold(false, true),
   }
-  thread::sleep(lasts);
+  thread::sleep(duration);
   proxy.hold(false, false);
   proxy.fault(ProxyFault::None);
 }
--- a/soak/src/world/gather.rs
+++ b/soak/src/world/gather.rs
@@ -1,82 +1,82 @@
-//! What servers have seen, for the history.
+//! Collects what servers recorded into the history.
 
-use super::{World, configuration::BOUNDED, lock};
-use crate::history::{Arrival, History, Hold, Leaver, Limit, Order, Rest, Run};
+use super::{World, configuration::BOUNDED_MODEL, lock};
+use crate::history::{Arrival, Backoff, Departure, History, Hold, Limit, Order, Run};
 use platform_stand_in::runner::Runner;
 use std::sync::atomic::Ordering;
 
 impl World {
-  /// When a server held the bounded model, as it wrote down itself, while it was there.
-  fn holds(&self, runner: &Runner, gone: &[(String, u64)]) -> Vec<Hold> {
-    let gone = gone.iter().find(|(id, _)| *id == runner.id);
-    let last = gone.map_or(u64::MAX, |(_, at)| *at);
+  /// Returns when a server held the bounded model, from its own records, until it was removed.
+  fn model_holds(&self, runner: &Runner, removed: &[(String, u64)]) -> Vec<Hold> {
+    let removed = removed.iter().find(|(id, _)| *id == runner.id);
+    let end = removed.map_or(u64::MAX, |(_, at)| *at);
     let mut holds: Vec<Hold> = Vec::new();
     let changes = runner.changes().into_iter();
-    for change in changes.filter(|change| change.model == BOUNDED) {
-      let at = self.book.at(change.at).min(last);
+    for change in changes.filter(|change| change.model == BOUNDED_MODEL) {
+      let at = self.recorder.ms_at(change.at).min(end);
       match (change.held, holds.last_mut()) {
         (false, Some(hold)) => hold.to = at,
         (false, None) => {}
         (true, _) => holds.push(Hold {
           server: runner.id.clone(),
           from: at,
-          to: last,
+          to: end,
         }),
       }
     }
     holds
   }
 
-  /// What a server said in its answers, and what came to it.
-  fn said(&self, runner: &Runner, history: &mut History) {
-    let (named, rests, leaving) = (runner.limits(), runner.rests(), runner.leaving());
-    if named.is_empty() && rests.is_empty() && leaving.is_none() {
+  /// Adds what a server announced in responses, and the requests that reached it.
+  fn collect_announcements(&self, runner: &Runner, history: &mut History) {
+    let (limits, backoffs, leaving_at) = (runner.limits(), runner.rests(), runner.leaving());
+    if limits.is_empty() && backoffs.is_empty() && leaving_at.is_none() {
       return;
     }
-    history.leavers.extend(leaving.map(|from| Leaver {
+    history.departures.extend(leaving_at.map(|from| Departure {
       server: runner.id.clone(),
-      from: self.book.at(from),
+      from: self.recorder.ms_at(from),
     }));
-    history.rests.extend(rests.into_iter().map(|rest| {
-      let seconds: f64 = rest.seconds.parse().unwrap_or_default();
-      let from = self.book.at(rest.at);
-      Rest {
+    history.backoffs.extend(backoffs.into_iter().map(|backoff| {
+      let seconds: f64 = backoff.seconds.parse().unwrap_or_default();
+      let from = self.recorder.ms_at(backoff.at);
+      Backoff {
         server: runner.id.clone(),
-        id: rest.id,
+        id: backoff.id,
         from,
         to: from + (seconds * 1_000.0) as u64,
       }
     }));
-    for (number, (from, rate)) in named.iter().enumerate() {
+    for (number, (from, rate)) in limits.iter().enumerate() {
       let Some(rate) = rate else {
         continue;
       };
-      let next = named.get(number + 1);
+      let next = limits.get(number + 1);
       history.limits.push(Limit {
         server: runner.id.clone(),
         rate: *rate,
-        from: self.book.at(*from),
-        to: next.map_or(u64::MAX, |(to, _)| self.book.at(*to)),
+        from: self.recorder.ms_at(*from),
+        to: next.map_or(u64::MAX, |(to, _)| self.recorder.ms_at(*to)),
       });
     }
     for arrival in runner.arrivals() {
       history.arrivals.push(Arrival {
         id: arrival.id,
         server: runner.id.clone(),
-        at: self.book.at(arrival.at),
+        at: self.recorder.ms_at(arrival.at),
       });
     }
   }
 
-  /// Adds what servers have seen to the history.
-  pub(super) fn gather(&self) -> History {
-    let mut history = self.book.note(std::mem::take);
+  /// Completes the history with what servers recorded, and returns it.
+  pub(super) fn collect(&self) -> History {
+    let mut history = self.recorder.record(std::mem::take);
     for runner in lock(&self.runners).iter() {
       for seen in runner.seen() {
         history.runs.push(Run {
           id: seen.id,
           server: runner.id.clone(),
-          at: self.book.at(seen.at),
+          at: self.recorder.ms_at(seen.at),
         });
       }
       for order in runner.commands() {
@@ -84,18 +84,20 @@
           server: runner.id.clone(),
           holder: order.holder().to_string(),
           term: order.term(),
-          at: self.book.at(order.at),
+          at: self.recorder.ms_at(order.at),
         });
       }
-      self.said(runner, &mut history);
-      let holds = self.holds(runner, &history.gone);
+      self.collect_announcements(runner, &mut history);
+      let holds = self.model_holds(runner, &history.removed);
       history.holds.extend(holds);
-      let overfull = runner.overfull();
-      if overfull > 0 {
-        history.overfull.push((runner.id.clone(), overfull));
+      let excess_loads = runner.overfull();
+      if excess_loads > 0 {
+        history
+          .overcommitted
+          .push((runner.id.clone(), excess_loads));
       }
     }
-    history.late_orders = self.late.load(Ordering::Relaxed);
+    history.late_orders = self.late_orders.load(Ordering::Relaxed);
     history
   }
 }
--- a/soak/src/world/member.rs
+++ b/soak/src/world/member.rs
@@ -1,6 +1,6 @@
-//! One instance with its proxy before the store, and the faults of instances.
+//! An instance behind a proxy to the store, and the faults of instances.
 
-use super::{LEASE_MS, Options, World, faults::sever, lock};
+use super::{LEASE_MS, Options, World, faults::cut_temporarily, lock};
 use crate::{
   history::{FROZEN, STOPPED, Target},
   plan::Cut,
@@ -23,29 +23,29 @@
   time::Duration,
 };
 
-/// Grace time of a planned stop, ms.
+/// Grace period of a planned stop.
 const GRACE_MS: u64 = 8_000;
 
-/// An instance, started again after each end.
+/// An instance, which is restarted each time it ends.
 pub(super) struct Member {
-  /// Before the store.
+  /// Proxy between the instance and the store.
   pub proxy: Proxy,
   pub instance: Mutex<Instance>,
-  /// Starts after the first.
+  /// Number of restarts.
   pub life: AtomicU32,
 }
 
 impl Member {
-  pub(super) fn open(options: &Options, store: &Store, number: usize) -> io::Result<Self> {
+  pub(super) fn start(options: &Options, store: &Store, number: usize) -> io::Result<Self> {
     let proxy = Proxy::bind(store.address)?;
     let name = format!("soak-{}-{number}", options.seed);
     let log = options.logs.as_deref();
     let log = log.map(|folder: &Path| folder.join(format!("{number}.log")));
-    let early = options.switch == Some(Break::Lease) && number > 0;
-    let short = options.switch == Some(Break::Grace);
+    let short_lease = options.switch == Some(Break::Lease) && number > 0;
+    let short_grace = options.switch == Some(Break::Grace);
     let setup = Setup {
-      lease_ms: if early { 60 } else { LEASE_MS },
-      grace_ms: if short { 1_050 } else { GRACE_MS },
+      lease_ms: if short_lease { 60 } else { LEASE_MS },
+      grace_ms: if short_grace { 1_050 } else { GRACE_MS },
       log,
       ..Setup::new(&options.program, &name, proxy.address)
     };
@@ -56,7 +56,7 @@
     })
   }
 
-  fn start(&self, instance: &mut Instance) {
+  fn restart(&self, instance: &mut Instance) {
     self.life.fetch_add(1, Ordering::Relaxed);
     if let Err(error) = instance.restart() {
       eprintln!("instance does not start again: {error}");
@@ -65,47 +65,54 @@
 }
 
 impl World {
-  pub(super) fn kill(&self, number: usize, lasts: Duration) {
+  pub(super) fn kill(&self, number: usize, duration: Duration) {
     let member = &self.members[number];
     let mut instance = lock(&member.instance);
-    let trouble = self.book.begin(Target::Instance(number), "kill");
+    let incident = self
+      .recorder
+      .start_incident(Target::Instance(number), "kill");
     let _ = instance.child.kill();
-    thread::sleep(lasts);
-    member.start(&mut instance);
-    self.book.end(trouble);
+    thread::sleep(duration);
+    member.restart(&mut instance);
+    self.recorder.end_incident(incident);
   }
 
-  pub(super) fn freeze(&self, number: usize, lasts: Duration) {
+  pub(super) fn freeze(&self, number: usize, duration: Duration) {
     let instance = lock(&self.members[number].instance);
-    let trouble = self.book.begin(Target::Instance(number), FROZEN);
+    let incident = self
+      .recorder
+      .start_incident(Target::Instance(number), FROZEN);
     let _ = instance.signal(Signal::STOP);
-    thread::sleep(lasts);
+    thread::sleep(duration);
     let _ = instance.signal(Signal::CONT);
-    self.book.end(trouble);
+    self.recorder.end_incident(incident);
   }
 
-  /// A planned stop: requests may not suffer while the process lives.
+  /// Stops an instance as planned. The incident starts only when the process has exited, because
+  /// requests must not fail before that.
   pub(super) fn stop(&self, number: usize) {
     let member = &self.members[number];
     let mut instance = lock(&member.instance);
     let _ = instance.signal(Signal::TERM);
     let _ = instance.child.wait();
-    let trouble = self.book.begin(Target::Instance(number), STOPPED);
-    member.start(&mut instance);
-    self.book.end(trouble);
+    let incident = self
+      .recorder
+      .start_incident(Target::Instance(number), STOPPED);
+    member.restart(&mut instance);
+    self.recorder.end_incident(incident);
   }
 
   pub(super) fn reload(&self, number: usize) {
     let instance = lock(&self.members[number].instance);
-    // It may have ended by another fault.
+    // Another fault may have ended the process.
     let _ = instance.signal(Signal::HUP);
   }
 
-  pub(super) fn cut_from_store(&self, number: usize, cut: Cut, lasts: Duration) {
-    let trouble = self
-      .book
-      .begin(Target::Instance(number), "cut from the store");
-    sever(&self.members[number].proxy, cut, lasts);
-    self.book.end(trouble);
+  pub(super) fn cut_from_store(&self, number: usize, cut: Cut, duration: Duration) {
+    let incident = self
+      .recorder
+      .start_incident(Target::Instance(number), "cut from the store");
+    cut_temporarily(&self.members[number].proxy, cut, duration);
+    self.recorder.end_incident(incident);
   }
 }
--- a/soak/src/world/mod.rs
+++ b/soak/src/world/mod.rs
@@ -1,4 +1,4 @@
-//! A deployment of real instances before stand-ins, and the faults done to it.
+//! A deployment of real instances against stand-ins, and the faults injected into it.
 
 mod configuration;
 mod faults;
@@ -9,13 +9,13 @@
 mod watchers;
 
 use crate::{
-  history::{Book, History},
+  history::{History, Recorder},
   load::Traffic,
   plan::{Size, Step},
   switch::Break,
 };
 use member::Member;
-use place::Place;
+use place::Slot;
 use platform_stand_in::{runner::Runner, store::Store};
 use std::{
   io,
@@ -28,7 +28,7 @@
   time::{Duration, Instant},
 };
 
-/// What a run is made of.
+/// Options of a run.
 #[derive(Clone, Debug)]
 pub struct Options {
   pub program: PathBuf,
@@ -36,120 +36,122 @@
   pub size: Size,
   pub steps: Vec<Step>,
   pub switch: Option<Break>,
-  /// Logs of the instances go here.
+  /// Directory for the logs of the instances.
   pub logs: Option<PathBuf>,
-  /// From the last fault's end to the end of the load, ms.
+  /// Time from the end of the last fault to the end of the load, in ms.
   pub calm_ms: u64,
 }
 
-/// Time between orders of two instances to one server, ms.
+/// Shortest time between orders of two instances to one server.
 pub const LEASE_MS: u64 = 1_000;
 
-/// Everything that runs.
+/// Instances, servers, callers and the store of a run.
 pub struct World {
-  book: Arc<Book>,
+  recorder: Arc<Recorder>,
   store: Store,
   members: Vec<Member>,
-  places: Vec<Place>,
-  /// All servers there ever were.
+  slots: Vec<Slot>,
+  /// All servers ever started.
   runners: Mutex<Vec<Runner>>,
   traffic: Arc<Traffic>,
   version: Mutex<u64>,
-  late: AtomicBool,
-  broken: Option<Break>,
+  late_orders: AtomicBool,
+  switch: Option<Break>,
 }
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
   mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Plays a run; ends early when `stop` is set.
+/// Runs a plan and returns its history; ends early when `stop` is set.
 pub fn simulate(options: &Options, stop: &AtomicBool) -> io::Result<History> {
-  let world = Arc::new(World::open(options)?);
-  let watchers = world.watch(options);
-  let faults = world.strike(&options.steps, stop);
+  let world = Arc::new(World::start(options)?);
+  let watchers = world.start_watchers(options);
+  let faults = world.inject_all(&options.steps, stop);
   for fault in faults {
-    // A fault's thread ends with its fault.
+    // The thread of a fault ends when the fault ends.
     let _ = fault.join();
   }
-  let calm_from = world.book.now();
-  world.book.note(|history| history.calm_from = calm_from);
-  rest(options.calm_ms, stop);
-  world.traffic.over.store(true, Ordering::Relaxed);
+  let faults_ended_at = world.recorder.now();
+  world
+    .recorder
+    .record(|history| history.faults_ended_at = faults_ended_at);
+  sleep_until_stopped(options.calm_ms, stop);
+  world.traffic.stopped.store(true, Ordering::Relaxed);
   for watcher in watchers {
     let _ = watcher.join();
   }
-  Ok(world.gather())
+  Ok(world.collect())
 }
 
-fn rest(ms: u64, stop: &AtomicBool) {
-  let until = Instant::now() + Duration::from_millis(ms);
-  while Instant::now() < until && !stop.load(Ordering::Relaxed) {
+fn sleep_until_stopped(ms: u64, stop: &AtomicBool) {
+  let deadline = Instant::now() + Duration::from_millis(ms);
+  while Instant::now() < deadline && !stop.load(Ordering::Relaxed) {
     thread::sleep(Duration::from_millis(50));
   }
 }
 
 impl World {
-  fn open(options: &Options) -> io::Result<Self> {
+  fn start(options: &Options) -> io::Result<Self> {
     let store = Store::start();
-    let broken = options.switch;
-    if broken != Some(Break::Policy) {
-      configuration::bound(&store);
+    let switch = options.switch;
+    if switch != Some(Break::Policy) {
+      configuration::write_policy(&store);
     }
-    let book = Arc::new(Book::open());
+    let recorder = Arc::new(Recorder::start());
     let size = options.size;
-    let places = (0..size.servers * 2)
-      .map(|number| Place::open(&store, number, size.servers))
-      .collect::<io::Result<Vec<Place>>>()?;
-    let runners = places.iter().map(|place| lock(&place.runner).clone());
+    let slots = (0..size.servers * 2)
+      .map(|number| Slot::start(&store, number, size.servers))
+      .collect::<io::Result<Vec<Slot>>>()?;
+    let runners = slots.iter().map(|slot| lock(&slot.runner).clone());
     let runners = Mutex::new(runners.collect());
     let members = (0..size.instances)
-      .map(|number| Member::open(options, &store, number))
+      .map(|number| Member::start(options, &store, number))
       .collect::<io::Result<Vec<Member>>>()?;
-    let traffic = Arc::new(traffic(&book, &members, broken));
+    let traffic = Arc::new(new_traffic(&recorder, &members, switch));
     let world = Self {
-      book,
+      recorder,
       store,
       members,
-      places,
+      slots,
       runners,
       traffic,
       version: Mutex::new(0),
-      late: AtomicBool::new(false),
-      broken,
+      late_orders: AtomicBool::new(false),
+      switch,
     };
-    world.begin();
+    world.prepare();
     Ok(world)
   }
 
-  /// Puts the first configuration in force and waits for all instances.
-  fn begin(&self) {
+  /// Writes the first configuration and waits until all instances are ready.
+  fn prepare(&self) {
     self.configure();
-    for place in &self.places {
-      lock(&place.runner).mood(self.mood());
+    for slot in &self.slots {
+      lock(&slot.runner).mood(self.default_mood());
     }
     for member in &self.members {
       lock(&member.instance).wait_ready();
     }
-    if let (Some(Break::Deaf), Some(member)) = (self.broken, self.members.first()) {
+    if let (Some(Break::Deaf), Some(member)) = (self.switch, self.members.first()) {
       member.proxy.hold(true, true);
     }
   }
 }
 
-fn traffic(book: &Arc<Book>, members: &[Member], broken: Option<Break>) -> Traffic {
+fn new_traffic(recorder: &Arc<Recorder>, members: &[Member], switch: Option<Break>) -> Traffic {
   let callers = members.iter().map(|member| lock(&member.instance).callers);
   Traffic {
-    book: book.clone(),
+    recorder: recorder.clone(),
     instances: callers
       .map(|callers| (callers, AtomicBool::new(true)))
       .collect(),
     bursts: AtomicU64::new(0),
-    patience: if broken == Some(Break::Patience) {
+    deadline_factor: if switch == Some(Break::Patience) {
       3
     } else {
       1
     },
-    over: AtomicBool::new(false),
+    stopped: AtomicBool::new(false),
   }
 }
--- a/soak/src/world/place.rs
+++ b/soak/src/world/place.rs
@@ -1,6 +1,6 @@
-//! One place for a server, and the faults of servers.
+//! A slot for consecutive servers at one address, and the faults of servers.
 
-use super::{World, faults::sever, lock};
+use super::{World, faults::cut_temporarily, lock};
 use crate::{history::Target, plan::Server, switch::Break};
 use platform_stand_in::{
   deployment::MODELS,
@@ -18,32 +18,32 @@
   time::Duration,
 };
 
-/// Time from a crash to the removal of a server's entry.
-pub(super) const LAPSE: Duration = Duration::from_millis(800);
-/// A server serves on for this long after its entry has gone.
-const SERVES_ON: Duration = Duration::from_millis(2_500);
-/// How long the delay fault holds each piece that passes.
-const DELAY: Duration = Duration::from_millis(40);
+/// Time from a crash until the entry of a server expires.
+pub(super) const ENTRY_EXPIRY: Duration = Duration::from_millis(800);
+/// How long a server keeps serving after its entry is removed.
+const SERVES_AFTER_REMOVAL: Duration = Duration::from_millis(2_500);
+/// How long the delay fault delays each chunk of data.
+const PROXY_DELAY: Duration = Duration::from_millis(40);
 
-/// One place for a server: its proxy, and who is behind it now.
-pub(super) struct Place {
+/// A slot for a server: its proxy, and the server that is currently behind it.
+pub(super) struct Slot {
   proxy: Proxy,
   service: &'static str,
   pub runner: Mutex<Runner>,
   starts: AtomicU32,
 }
 
-impl Place {
-  pub(super) fn open(store: &Store, number: usize, engines: usize) -> io::Result<Self> {
+impl Slot {
+  pub(super) fn start(store: &Store, number: usize, engines: usize) -> io::Result<Self> {
     // The proxy's target is set once the server listens.
     let proxy = Proxy::bind(store.address)?;
     let (service, id) = match number < engines {
       true => ("models", format!("m{number}.0")),
       false => ("plain", format!("p{number}.0")),
     };
-    let models = [MODELS[number % 2], MODELS[2 + number % 4]];
-    let held: &[&str] = if service == "models" { &models } else { &[] };
-    let runner = behind(store, &proxy, &id, service, held);
+    let pair = [MODELS[number % 2], MODELS[2 + number % 4]];
+    let models: &[&str] = if service == "models" { &pair } else { &[] };
+    let runner = start_runner(store, &proxy, &id, service, models);
     Ok(Self {
       proxy,
       service,
@@ -54,136 +54,145 @@
 }
 
 impl World {
-  pub(super) fn server(&self, number: usize, fault: Server, lasts: Duration) {
-    let place = &self.places[number];
-    let mut runner = lock(&place.runner);
-    let trouble = self.book.begin(Target::Server(runner.id.clone()), "server");
-    let mood = self.mood();
+  pub(super) fn inject_server_fault(&self, number: usize, fault: Server, duration: Duration) {
+    let slot = &self.slots[number];
+    let mut runner = lock(&slot.runner);
+    let incident = self
+      .recorder
+      .start_incident(Target::Server(runner.id.clone()), "server");
+    let mood = self.default_mood();
     match fault {
-      Server::Crash => self.crash(place, &mut runner, lasts),
-      Server::Restart => self.restart(place, &mut runner, lasts),
-      Server::Drain => self.drain(place, &mut runner, true),
-      Server::Vanish => self.drain(place, &mut runner, false),
-      Server::Cut(cut) => sever(&place.proxy, cut, lasts),
-      Server::Delay => delay(&place.proxy, lasts),
+      Server::Crash => self.crash(slot, &mut runner, duration),
+      Server::Restart => self.restart(slot, &mut runner, duration),
+      Server::Drain => self.drain(slot, &mut runner, true),
+      Server::Vanish => self.drain(slot, &mut runner, false),
+      Server::Cut(cut) => cut_temporarily(&slot.proxy, cut, duration),
+      Server::Delay => delay_temporarily(&slot.proxy, duration),
       Server::Slow => {
         let work = mood.work * 10;
-        feel(&runner, Mood { work, ..mood }, mood, lasts);
+        set_mood_temporarily(&runner, Mood { work, ..mood }, mood, duration);
       }
-      Server::Fails => feel(&runner, Mood { fail: 40, ..mood }, mood, lasts),
-      Server::Declines => feel(
+      Server::Fails => set_mood_temporarily(&runner, Mood { fail: 40, ..mood }, mood, duration),
+      Server::Declines => set_mood_temporarily(
         &runner,
         Mood {
           decline: 40,
           ..mood
         },
         mood,
-        lasts,
+        duration,
       ),
-      Server::LosesAnswers => feel(&runner, Mood { lose: 20, ..mood }, mood, lasts),
-      Server::BreaksStreams => feel(&runner, Mood { cut: 30, ..mood }, mood, lasts),
+      Server::LosesAnswers => {
+        set_mood_temporarily(&runner, Mood { lose: 20, ..mood }, mood, duration)
+      }
+      Server::BreaksStreams => {
+        set_mood_temporarily(&runner, Mood { cut: 30, ..mood }, mood, duration)
+      }
       Server::Says => {
         runner.leave();
-        thread::sleep(lasts);
-        self.drain(place, &mut runner, true);
+        thread::sleep(duration);
+        self.drain(slot, &mut runner, true);
       }
       Server::Rest(tenths) => {
         let seconds = f64::from(tenths) / 10.0;
         runner.rest(Some(&seconds.to_string()));
-        thread::sleep(lasts);
+        thread::sleep(duration);
         runner.rest(None);
       }
       Server::Limit(in_ten_seconds) => {
         runner.limit(Some(f64::from(in_ten_seconds) / 10.0));
-        thread::sleep(lasts);
+        thread::sleep(duration);
         runner.limit(None);
       }
       Server::OrdersLate => {
-        self.late.store(true, Ordering::Relaxed);
-        feel(&runner, Mood { late: 50, ..mood }, mood, lasts);
+        self.late_orders.store(true, Ordering::Relaxed);
+        set_mood_temporarily(&runner, Mood { late: 50, ..mood }, mood, duration);
       }
     }
-    self.book.end(trouble);
+    self.recorder.end_incident(incident);
   }
 
-  /// The server crashes, and another one comes at its address.
-  fn crash(&self, place: &Place, runner: &mut Runner, lasts: Duration) {
+  /// The server crashes, and another one starts at its address.
+  fn crash(&self, slot: &Slot, runner: &mut Runner, duration: Duration) {
     runner.end();
-    self.gone(&runner.id);
-    place.proxy.fault(ProxyFault::Refuse);
-    thread::sleep(LAPSE);
+    self.record_removal(&runner.id);
+    slot.proxy.fault(ProxyFault::Refuse);
+    thread::sleep(ENTRY_EXPIRY);
     self.store.remove("servers", &runner.id);
-    thread::sleep(lasts);
-    place.proxy.fault(ProxyFault::None);
-    self.replace(place, runner);
+    thread::sleep(duration);
+    slot.proxy.fault(ProxyFault::None);
+    self.replace(slot, runner);
   }
 
-  /// The server crashes and starts again under its id and address, while its entry stays.
-  fn restart(&self, place: &Place, runner: &mut Runner, lasts: Duration) {
+  /// The server crashes and restarts with the same id and address, while its entry stays.
+  fn restart(&self, slot: &Slot, runner: &mut Runner, duration: Duration) {
     runner.end();
-    place.proxy.fault(ProxyFault::Refuse);
-    thread::sleep(lasts);
-    place.proxy.fault(ProxyFault::None);
+    slot.proxy.fault(ProxyFault::Refuse);
+    thread::sleep(duration);
+    slot.proxy.fault(ProxyFault::None);
     let id = runner.id.clone();
-    *runner = behind(&self.store, &place.proxy, &id, place.service, &[]);
-    runner.mood(self.mood());
+    *runner = start_runner(&self.store, &slot.proxy, &id, slot.service, &[]);
+    runner.mood(self.default_mood());
     lock(&self.runners).push(runner.clone());
   }
 
-  /// The server leaves, with a word or without, and another one comes.
-  fn drain(&self, place: &Place, runner: &mut Runner, word: bool) {
-    let at = self.book.now();
+  /// The server leaves, and another one takes its slot. If `announced`, its entry changes to
+  /// draining first; otherwise the entry is removed at once.
+  fn drain(&self, slot: &Slot, runner: &mut Runner, announced: bool) {
+    let at = self.recorder.now();
     let id = runner.id.clone();
-    if self.broken != Some(Break::Leave) {
-      match word {
+    if self.switch != Some(Break::Leave) {
+      match announced {
         true => runner.beat("draining"),
-        false => self.remove(&id),
+        false => self.remove_entry(&id),
       }
     }
-    self.book.note(|history| history.drained.push((id, at)));
-    thread::sleep(SERVES_ON * 2);
-    self.remove(&runner.id);
+    self
+      .recorder
+      .record(|history| history.drained.push((id, at)));
+    thread::sleep(SERVES_AFTER_REMOVAL * 2);
+    self.remove_entry(&runner.id);
     runner.end();
-    place.proxy.cut();
-    self.replace(place, runner);
+    slot.proxy.cut();
+    self.replace(slot, runner);
   }
 
-  /// Its entry goes for good.
-  fn remove(&self, id: &str) {
+  /// Removes the entry of a server for good.
+  fn remove_entry(&self, id: &str) {
     self.store.remove("servers", id);
-    self.gone(id);
+    self.record_removal(id);
   }
 
-  fn gone(&self, id: &str) {
-    let at = self.book.now();
+  fn record_removal(&self, id: &str) {
+    let at = self.recorder.now();
     self
-      .book
-      .note(|history| history.gone.push((id.to_string(), at)));
+      .recorder
+      .record(|history| history.removed.push((id.to_string(), at)));
   }
 
-  fn replace(&self, place: &Place, runner: &mut Runner) {
-    let start = place.starts.fetch_add(1, Ordering::Relaxed);
+  fn replace(&self, slot: &Slot, runner: &mut Runner) {
+    let start = slot.starts.fetch_add(1, Ordering::Relaxed);
     let name = runner.id.split('.').next().unwrap_or_default();
     let id = format!("{name}.{}", start + 1);
-    *runner = behind(&self.store, &place.proxy, &id, place.service, &[]);
-    runner.mood(self.mood());
+    *runner = start_runner(&self.store, &slot.proxy, &id, slot.service, &[]);
+    runner.mood(self.default_mood());
     lock(&self.runners).push(runner.clone());
   }
 }
 
-fn feel(runner: &Runner, mood: Mood, after: Mood, lasts: Duration) {
+fn set_mood_temporarily(runner: &Runner, mood: Mood, normal: Mood, duration: Duration) {
   runner.mood(mood);
-  thread::sleep(lasts);
-  runner.mood(after);
+  thread::sleep(duration);
+  runner.mood(normal);
 }
 
-fn delay(proxy: &Proxy, lasts: Duration) {
-  proxy.fault(ProxyFault::Delay(DELAY));
-  thread::sleep(lasts);
+fn delay_temporarily(proxy: &Proxy, duration: Duration) {
+  proxy.fault(ProxyFault::Delay(PROXY_DELAY));
+  thread::sleep(duration);
   proxy.fault(ProxyFault::None);
 }
 
-fn behind(store: &Store, proxy: &Proxy, id: &str, service: &str, models: &[&str]) -> Runner {
+fn start_runner(store: &Store, proxy: &Proxy, id: &str, service: &str, models: &[&str]) -> Runner {
   Runner::start_behind(store, id, service, models, |address| {
     proxy.retarget(address);
     proxy.address
--- a/soak/src/world/store.rs
+++ b/soak/src/world/store.rs
@@ -1,16 +1,16 @@
 //! Faults of the platform's store.
 
-use super::{World, lock, place::LAPSE};
+use super::{World, lock, place::ENTRY_EXPIRY};
 use crate::{history::Target, plan::Store as StoreFault};
 use platform_stand_in::{runner::Runner, store::Fate};
 use std::{sync::MutexGuard, thread, time::Duration};
 
-/// After the store's return the operator writes again after this time, and servers one after the
-/// other with this pause.
-const OPERATOR: Duration = Duration::from_millis(400);
-const BEAT: Duration = Duration::from_millis(60);
-/// Contents of entries that name no server.
-const FOREIGN: [&[u8]; 4] = [
+/// Delay after a restore until the operator writes the configuration again, and pause between the
+/// heartbeats of servers that follow.
+const OPERATOR_DELAY: Duration = Duration::from_millis(400);
+const HEARTBEAT_PAUSE: Duration = Duration::from_millis(60);
+/// Contents of entries that do not describe a server.
+const FOREIGN_ENTRIES: [&[u8]; 4] = [
   b"null",
   b"{\"service\":7}",
   b"{\"service\":\"plain\",\"address\":\"127.0.0.1:1\",\"state\":\"resting\"}",
@@ -18,83 +18,85 @@
 ];
 
 impl World {
-  pub(super) fn store(&self, fault: StoreFault, lasts: Duration) {
-    let trouble = self.book.begin(Target::Store, "store");
+  pub(super) fn inject_store_fault(&self, fault: StoreFault, duration: Duration) {
+    let incident = self.recorder.start_incident(Target::Store, "store");
     match fault {
       StoreFault::Forgets => self.store.forget(),
-      StoreFault::Down => self.fate(Fate::Refuses, lasts),
-      StoreFault::Silent => self.fate(Fate::Mute, lasts),
-      StoreFault::Slow => self.fate(Fate::Slow(Duration::from_millis(250)), lasts),
-      StoreFault::LosesAnswers => self.fate(Fate::Loses, lasts),
-      StoreFault::WritesLate => self.fate(Fate::Late(Duration::from_millis(1_200)), lasts),
-      StoreFault::Lapse => self.lapse(lasts),
-      StoreFault::Foreign => self.foreign(lasts),
-      StoreFault::Returns(tenths) => self.restore(u64::from(tenths) * 100, lasts),
+      StoreFault::Down => self.set_fate_temporarily(Fate::Refuses, duration),
+      StoreFault::Silent => self.set_fate_temporarily(Fate::Mute, duration),
+      StoreFault::Slow => {
+        self.set_fate_temporarily(Fate::Slow(Duration::from_millis(250)), duration)
+      }
+      StoreFault::LosesAnswers => self.set_fate_temporarily(Fate::Loses, duration),
+      StoreFault::WritesLate => {
+        self.set_fate_temporarily(Fate::Late(Duration::from_millis(1_200)), duration)
+      }
+      StoreFault::Lapse => self.expire_entries(duration),
+      StoreFault::Foreign => self.add_foreign_entries(duration),
+      StoreFault::Returns(tenths) => self.restore_store(u64::from(tenths) * 100, duration),
     }
-    self.book.end(trouble);
+    self.recorder.end_incident(incident);
   }
 
-  /// Entries of another writer stand among those of servers, before and after them by name.
-  fn foreign(&self, lasts: Duration) {
-    let names: Vec<String> = (0..FOREIGN.len())
+  /// Adds entries of another writer that sort before and after those of servers.
+  fn add_foreign_entries(&self, duration: Duration) {
+    let names: Vec<String> = (0..FOREIGN_ENTRIES.len())
       .flat_map(|number| [format!("a-{number}"), format!("z-{number}")])
       .collect();
-    for (name, bytes) in names.iter().zip(FOREIGN.iter().cycle()) {
+    for (name, bytes) in names.iter().zip(FOREIGN_ENTRIES.iter().cycle()) {
       self.store.put_raw("servers", name, bytes);
     }
-    thread::sleep(lasts);
+    thread::sleep(duration);
     names
       .iter()
       .for_each(|name| self.store.remove("servers", name));
   }
 
-  /// The store goes away and comes back from a copy; the operator and servers write again what is
-  /// theirs, each after a while.
-  fn restore(&self, age_ms: u64, lasts: Duration) {
+  /// Takes the store down and restores it from a copy. The operator and the servers then write
+  /// their entries again, each after a delay.
+  fn restore_store(&self, age_ms: u64, duration: Duration) {
     let copy = self.store.copy();
     thread::sleep(Duration::from_millis(age_ms));
     self.store.fate(Fate::Refuses);
-    thread::sleep(lasts);
+    thread::sleep(duration);
     self.store.restore(&copy);
     self.store.fate(Fate::Answers);
-    thread::sleep(OPERATOR);
-    self.configure_again();
+    thread::sleep(OPERATOR_DELAY);
+    self.rewrite_configuration();
     let runners = lock(&self.runners).clone();
-    let gone = |id: &str| {
+    let is_removed = |id: &str| {
       self
-        .book
-        .note(|history| history.gone.iter().any(|(gone, _)| gone == id))
+        .recorder
+        .record(|history| history.removed.iter().any(|(removed, _)| removed == id))
     };
-    for runner in runners.iter().filter(|runner| !gone(&runner.id)) {
-      thread::sleep(BEAT);
+    for runner in runners.iter().filter(|runner| !is_removed(&runner.id)) {
+      thread::sleep(HEARTBEAT_PAUSE);
       runner.beat_again();
     }
-    thread::sleep(LAPSE * 3);
-    for runner in runners.iter().filter(|runner| gone(&runner.id)) {
+    thread::sleep(ENTRY_EXPIRY * 3);
+    for runner in runners.iter().filter(|runner| is_removed(&runner.id)) {
       self.store.remove("servers", &runner.id);
     }
   }
 
-  fn fate(&self, fate: Fate, lasts: Duration) {
+  fn set_fate_temporarily(&self, fate: Fate, duration: Duration) {
     self.store.fate(fate);
-    thread::sleep(lasts);
+    thread::sleep(duration);
     self.store.fate(Fate::Answers);
   }
 
-  /// The store is down, and entries of servers are back a little after it.
-  fn lapse(&self, lasts: Duration) {
+  /// Takes the store down and removes the entries of servers. The servers write them again shortly
+  /// after the store is back.
+  fn expire_entries(&self, duration: Duration) {
     self.store.fate(Fate::Refuses);
-    thread::sleep(lasts);
-    let held: Vec<MutexGuard<Runner>> = self
-      .places
-      .iter()
-      .map(|place| lock(&place.runner))
-      .collect();
-    held
+    thread::sleep(duration);
+    let runners: Vec<MutexGuard<Runner>> =
+      self.slots.iter().map(|slot| lock(&slot.runner)).collect();
+    runners
       .iter()
       .for_each(|runner| self.store.remove("servers", &runner.id));
     self.store.fate(Fate::Answers);
-    thread::sleep(LAPSE);
-    held.iter().for_each(|runner| runner.beat("ready"));
+    thread::sleep(ENTRY_EXPIRY);
+    runners.iter().for_each(|runner| runner.beat("ready"));
   }
 }
--- a/soak/src/world/watchers.rs
+++ b/soak/src/world/watchers.rs
@@ -1,4 +1,5 @@
-//! Callers, and what looks on while they send: probes, the balancer, the replicas.
+//! Starts the callers and the threads that observe the run: probes, the load balancer, and the
+//! measurement of scheduling lag.
 
 use super::{Options, World, lock};
 use crate::{history::Probe, load};
@@ -10,69 +11,69 @@
   time::{Duration, Instant},
 };
 
-/// Pause between two looks at what is in force.
-const PROBE: Duration = Duration::from_millis(150);
-/// Misses after which a balancer sends no more callers.
-const MISSES: u32 = 2;
-/// Pause between the balancer's questions.
-const READY: Duration = Duration::from_millis(400);
+/// Pause between two probes of the current configuration.
+const PROBE_INTERVAL: Duration = Duration::from_millis(150);
+/// Failed readiness checks after which the load balancer sends no more callers.
+const MAX_MISSES: u32 = 2;
+/// Pause between two readiness checks of the load balancer.
+const READY_INTERVAL: Duration = Duration::from_millis(400);
 
 impl World {
-  /// Starts callers and everything that looks on.
-  pub(super) fn watch(self: &Arc<Self>, options: &Options) -> Vec<thread::JoinHandle<()>> {
+  /// Starts the callers and the observing threads.
+  pub(super) fn start_watchers(self: &Arc<Self>, options: &Options) -> Vec<thread::JoinHandle<()>> {
     let mut threads = Vec::new();
     for instance in 0..self.members.len() {
       for caller in 0..options.size.callers {
         let (traffic, seed) = (self.traffic.clone(), options.seed);
         threads.push(thread::spawn(move || {
-          load::call(&traffic, instance, caller, seed);
+          load::run_caller(&traffic, instance, caller, seed);
         }));
       }
       let world = self.clone();
       threads.push(thread::spawn(move || world.probe(instance)));
       let world = self.clone();
-      threads.push(thread::spawn(move || world.balance(instance)));
+      threads.push(thread::spawn(move || world.check_readiness(instance)));
     }
     let world = self.clone();
-    threads.push(thread::spawn(move || world.look()));
+    threads.push(thread::spawn(move || world.measure_lag()));
     threads
   }
 
-  fn over(&self) -> bool {
-    self.traffic.over.load(Ordering::Relaxed)
+  fn is_stopped(&self) -> bool {
+    self.traffic.stopped.load(Ordering::Relaxed)
   }
 
-  /// Asks an instance which configuration is in force.
+  /// Probes which configuration version an instance uses.
   fn probe(&self, instance: usize) {
     let (address, ready) = &self.traffic.instances[instance];
-    let mut known = 1;
-    while !self.over() {
-      thread::sleep(PROBE);
+    let mut last_found = 1;
+    while !self.is_stopped() {
+      thread::sleep(PROBE_INTERVAL);
       if !ready.load(Ordering::Relaxed) {
         continue;
       }
       let life = self.members[instance].life.load(Ordering::Relaxed);
       let newest = *lock(&self.version);
-      let at = self.book.now();
-      let in_force = |version: &u64| self.ask(*address, *version) == Some(200);
-      let found = (known.min(newest)..=newest).rev().find(in_force);
-      known = found.unwrap_or(known);
-      let same = life == self.members[instance].life.load(Ordering::Relaxed);
-      if let (Some(version), true) = (found, same) {
+      let at = self.recorder.now();
+      let is_current = |version: &u64| self.query_version(*address, *version) == Some(200);
+      let found = (last_found.min(newest)..=newest).rev().find(is_current);
+      last_found = found.unwrap_or(last_found);
+      let same_process = life == self.members[instance].life.load(Ordering::Relaxed);
+      if let (Some(version), true) = (found, same_process) {
         let probe = Probe {
           instance,
           life,
           at,
           version,
         };
-        self.book.note(|history| history.probes.push(probe));
+        self.recorder.record(|history| history.probes.push(probe));
       }
     }
   }
 
-  fn ask(&self, address: SocketAddr, version: u64) -> Option<u16> {
+  fn query_version(&self, address: SocketAddr, version: u64) -> Option<u16> {
     let path = format!("/version-{version}/x");
-    let ask = Ask {
+    let request = Ask {
       method: "POST",
       path: &path,
       id: "probe",
@@ -81,32 +82,32 @@
       headers: &[],
       body: "",
     };
-    client::send(address, &ask).map(|answer| answer.status)
+    client::send(address, &request).map(|answer| answer.status)
   }
 
-  /// Takes an instance out for callers while it does not call itself ready.
-  fn balance(&self, instance: usize) {
+  /// Keeps callers away from an instance while it does not report that it is ready.
+  fn check_readiness(&self, instance: usize) {
     let health = lock(&self.members[instance].instance).health;
     let mut misses = 0;
-    while !self.over() {
+    while !self.is_stopped() {
       let ready = client::ready(health);
       misses = if ready { 0 } else { misses + 1 };
-      let (_, sends) = &self.traffic.instances[instance];
-      sends.store(misses < MISSES, Ordering::Relaxed);
-      thread::sleep(READY);
+      let (_, receives_callers) = &self.traffic.instances[instance];
+      receives_callers.store(misses < MAX_MISSES, Ordering::Relaxed);
+      thread::sleep(READY_INTERVAL);
     }
   }
 
-  /// Measures this process's own delays.
-  fn look(&self) {
+  /// Measures the scheduling lag of this process.
+  fn measure_lag(&self) {
     let pause = Duration::from_millis(20);
-    while !self.over() {
-      let began = Instant::now();
+    while !self.is_stopped() {
+      let started_at = Instant::now();
       thread::sleep(pause);
-      let lag = began.elapsed().saturating_sub(pause).as_millis() as u64;
+      let lag = started_at.elapsed().saturating_sub(pause).as_millis() as u64;
       self
-        .book
-        .note(|history| history.lag_ms = history.lag_ms.max(lag));
+        .recorder
+        .record(|history| history.max_lag_ms = history.max_lag_ms.max(lag));
     }
   }
 }
--- a/soak/tests/check.rs
+++ b/soak/tests/check.rs
@@ -1,29 +1,29 @@
-//! Each check passes what is allowed and finds what is not.
+//! Each check accepts valid histories and reports violations.
 
 use soak::{
   check::{Bounds, check},
   history::{
-    Arrival, End, FROZEN, History, Hold, Kind, Leaver, Limit, Order, Probe, Rest, Run, STOPPED,
-    Sent, Target, Trouble,
+    Arrival, Backoff, Departure, End, FROZEN, History, Hold, Incident, Kind, Limit, Order, Probe,
+    Request, Run, STOPPED, Target,
   },
 };
 
-/// A history in which everything is served after the last fault.
-fn calm() -> History {
-  let sent = Kind::ALL.iter().map(|kind| Sent {
+/// A history in which all requests are served after the last fault.
+fn baseline() -> History {
+  let requests = Kind::ALL.iter().map(|kind| Request {
     at: 20_000,
     ended: 20_050,
-    ..sent("calm", *kind, End::Success { own: true })
+    ..request("calm", *kind, End::Success { intact: true })
   });
   History {
-    sent: sent.collect(),
-    calm_from: 10_000,
+    requests: requests.collect(),
+    faults_ended_at: 10_000,
     ..History::default()
   }
 }
 
-fn sent(id: &str, kind: Kind, end: End) -> Sent {
-  Sent {
+fn request(id: &str, kind: Kind, end: End) -> Request {
+  Request {
     id: id.into(),
     kind,
     instance: 0,
@@ -32,7 +32,7 @@
     ended: 1_100,
     end,
     server: None,
-    foreign: None,
+    unexpected_body: None,
   }
 }
 
@@ -44,34 +44,34 @@
   }
 }
 
-fn trouble(target: Target, what: &'static str, from: u64, to: u64) -> Trouble {
-  Trouble {
+fn incident(target: Target, cause: &'static str, from: u64, to: u64) -> Incident {
+  Incident {
     target,
-    what,
+    cause,
     from,
     to,
   }
 }
 
-/// The promises that a history breaks.
+/// Returns the invariants that a history violates.
 fn broken(history: &History) -> Vec<&'static str> {
   let found = check(history, &Bounds::default());
-  found.iter().map(|violation| violation.promise).collect()
+  found.iter().map(|violation| violation.invariant).collect()
 }
 
-/// The promises broken by one request and its runs.
-fn with(sent: Sent, runs: &[Run]) -> Vec<&'static str> {
-  let mut history = calm();
-  history.sent.push(sent);
+/// Returns the invariants violated by one request and its runs.
+fn broken_by(request: Request, runs: &[Run]) -> Vec<&'static str> {
+  let mut history = baseline();
+  history.requests.push(request);
   history.runs.extend(runs.iter().cloned());
   broken(&history)
 }
 
-const SERVED: End = End::Success { own: true };
+const SERVED: End = End::Success { intact: true };
 
 #[test]
 fn a_calm_history_breaks_nothing() {
-  assert!(broken(&calm()).is_empty());
+  assert!(broken(&baseline()).is_empty());
 }
 
 #[test]
@@ -79,65 +79,78 @@
   let runs = [run("r", "a", 1_010), run("r", "b", 1_020)];
   for kind in Kind::ALL {
     let expected: &[&str] = if kind.repeatable() { &[] } else { &["once"] };
-    assert_eq!(with(sent("r", kind, SERVED), &runs), expected, "{kind:?}");
-    assert!(with(sent("r", kind, SERVED), &runs[..1]).is_empty());
+    assert_eq!(
+      broken_by(request("r", kind, SERVED), &runs),
+      expected,
+      "{kind:?}"
+    );
+    assert!(broken_by(request("r", kind, SERVED), &runs[..1]).is_empty());
   }
 }
 
 #[test]
 fn a_refusal_is_true() {
-  let refused = |status, signed| sent("r", Kind::Again, End::Failure { status, signed });
+  let refused = |status, signed| request("r", Kind::Repeatable, End::Failure { status, signed });
   let runs = [run("r", "a", 1_010)];
-  assert_eq!(with(refused(503, false), &runs), ["refusal"]);
-  assert_eq!(with(refused(429, false), &runs), ["refusal"]);
-  assert!(with(refused(503, false), &[]).is_empty());
+  assert_eq!(broken_by(refused(503, false), &runs), ["refusal"]);
+  assert_eq!(broken_by(refused(429, false), &runs), ["refusal"]);
+  assert!(broken_by(refused(503, false), &[]).is_empty());
   assert!(
-    with(refused(502, false), &runs).is_empty(),
-    "502 promises nothing"
+    broken_by(refused(502, false), &runs).is_empty(),
+    "502 does not say whether it ran"
   );
   assert!(
-    with(refused(503, true), &runs).is_empty(),
-    "the server's own"
+    broken_by(refused(503, true), &runs).is_empty(),
+    "a refusal by the server itself"
   );
 }
 
 #[test]
 fn a_caller_gets_the_whole_answer_to_its_own_request() {
-  let end = |end| sent("r", Kind::Once, end);
-  assert_eq!(with(end(End::Success { own: false }), &[]), ["answer"]);
-  assert_eq!(with(end(End::Cut), &[]), ["answer"]);
-  assert_eq!(with(end(End::Closed), &[]), ["stop"]);
-  let mut crossed = end(End::Closed);
-  crossed.reused = true;
-  assert!(with(crossed.clone(), &[]).is_empty(), "it was not read");
-  assert_eq!(with(crossed, &[run("r", "a", 1_010)]), ["stop"]);
+  let end = |end| request("r", Kind::Once, end);
+  assert_eq!(
+    broken_by(end(End::Success { intact: false }), &[]),
+    ["answer"]
+  );
+  assert_eq!(broken_by(end(End::Truncated), &[]), ["answer"]);
+  assert_eq!(broken_by(end(End::Closed), &[]), ["stop"]);
+  let mut closed_while_idle = end(End::Closed);
+  closed_while_idle.reused = true;
+  assert!(
+    broken_by(closed_while_idle.clone(), &[]).is_empty(),
+    "the request was not read"
+  );
+  assert_eq!(
+    broken_by(closed_while_idle, &[run("r", "a", 1_010)]),
+    ["stop"]
+  );
 }
 
 #[test]
 fn a_fault_at_the_instance_excuses_a_cut_and_a_planned_stop_does_not() {
-  for (what, from, excused) in [
+  for (cause, from, excused) in [
     ("kill", 1_050, true),
     (STOPPED, 1_050, false),
     (STOPPED, 900, true),
   ] {
-    let mut history = calm();
-    history.sent.push(sent("r", Kind::Once, End::Closed));
+    let mut history = baseline();
+    history.requests.push(request("r", Kind::Once, End::Closed));
     history
-      .troubles
-      .push(trouble(Target::Instance(0), what, from, 2_000));
-    assert_eq!(broken(&history).is_empty(), excused, "{what} from {from}");
-    history.troubles[0].target = Target::Instance(1);
+      .incidents
+      .push(incident(Target::Instance(0), cause, from, 2_000));
+    assert_eq!(broken(&history).is_empty(), excused, "{cause} from {from}");
+    history.incidents[0].target = Target::Instance(1);
     assert_eq!(broken(&history), ["stop"], "another instance");
   }
 }
 
 #[test]
 fn a_request_is_answered_in_time() {
-  let mut late = sent("r", Kind::Once, SERVED);
+  let mut late = request("r", Kind::Once, SERVED);
   late.ended = late.at + late.kind.deadline_ms() + 400;
-  assert!(with(late.clone(), &[]).is_empty());
+  assert!(broken_by(late.clone(), &[]).is_empty());
   late.ended += 200;
-  assert_eq!(with(late, &[]), ["in time"]);
+  assert_eq!(broken_by(late, &[]), ["in time"]);
 }
 
 #[test]
@@ -149,7 +162,7 @@
     at,
   };
   let orders = |one, two| {
-    let mut history = calm();
+    let mut history = baseline();
     history.orders = vec![one, two];
     history
   };
@@ -168,11 +181,11 @@
   );
   let early = orders(one(), order("y", 2, 5_500));
   assert_eq!(broken(&early), ["orders"], "too soon");
-  let mut thawed = early;
-  thawed
-    .troubles
-    .push(trouble(Target::Instance(1), FROZEN, 4_000, 5_400));
-  assert!(broken(&thawed).is_empty(), "it was on its way");
+  let mut delayed = early;
+  delayed
+    .incidents
+    .push(incident(Target::Instance(1), FROZEN, 4_000, 5_400));
+  assert!(broken(&delayed).is_empty(), "the order was delayed");
 }
 
 fn hold(server: &str, from: u64, to: u64) -> Hold {
@@ -185,10 +198,10 @@
 
 #[test]
 fn memory_and_replicas_stay_within_their_bounds() {
-  let mut history = calm();
-  history.overfull.push(("a".into(), 1));
+  let mut history = baseline();
+  history.overcommitted.push(("a".into(), 1));
   assert_eq!(broken(&history), ["memory"]);
-  let mut history = calm();
+  let mut history = baseline();
   history.holds = vec![hold("a", 0, 500), hold("b", 0, 900), hold("c", 500, 800)];
   assert!(broken(&history).is_empty(), "never three at once");
   history.holds.push(hold("d", 799, 801));
@@ -206,7 +219,7 @@
     version,
   };
   let probes = |probes: &[Probe]| {
-    let mut history = calm();
+    let mut history = baseline();
     history.configured = vec![(1, 0), (2, 5_000)];
     history.probes = probes.to_vec();
     history
@@ -220,8 +233,8 @@
   assert_eq!(broken(&late), ["configuration"]);
   let mut cut = late.clone();
   cut
-    .troubles
-    .push(trouble(Target::Store, "store", 4_000, 5_500));
+    .incidents
+    .push(incident(Target::Store, "store", 4_000, 5_500));
   assert!(broken(&cut).is_empty(), "the store was down");
   let mut restarted = probes(&[probe(6_000, 2), probe(6_200, 1)]);
   restarted.probes[1].life = 2;
@@ -231,7 +244,7 @@
 #[test]
 fn a_server_that_leaves_gets_no_new_work() {
   let history = |at| {
-    let mut history = calm();
+    let mut history = baseline();
     history.drained.push(("a".into(), 1_000));
     history.runs.push(run("calm", "a", at));
     history
@@ -240,16 +253,16 @@
   assert_eq!(broken(&history(4_000)), ["leaving"]);
 }
 
-// An instance is in touch three seconds after its last fault, also where that came shortly
-// before the departure, or after it.
+// An instance counts as connected three seconds after its last fault, also if the fault was shortly
+// before or after the departure.
 #[test]
 fn a_fault_excuses_a_late_request_to_a_leaving_server_while_it_is_recent() {
   let history = |from, to| {
-    let mut history = calm();
+    let mut history = baseline();
     history.drained.push(("a".into(), 9_000));
     history.runs.push(run("calm", "a", 12_000));
     let target = Target::Instance(0);
-    history.troubles.push(trouble(target, "cut", from, to));
+    history.incidents.push(incident(target, "cut", from, to));
     history
   };
   assert_eq!(broken(&history(5_000, 8_900)), ["leaving"]);
@@ -258,11 +271,11 @@
 
 #[test]
 fn after_all_faults_every_kind_is_served() {
-  let mut history = calm();
-  history.sent.pop();
-  assert_eq!(broken(&history), ["recovery"], "nothing of a kind was sent");
-  let mut history = calm();
-  history.sent[0].end = End::Failure {
+  let mut history = baseline();
+  history.requests.pop();
+  assert_eq!(broken(&history), ["recovery"], "one kind has no requests");
+  let mut history = baseline();
+  history.requests[0].end = End::Failure {
     status: 503,
     signed: false,
   };
@@ -271,10 +284,10 @@
 
 #[test]
 fn times_are_left_out_where_the_machine_decides_them() {
-  let mut history = calm();
-  let mut late = sent("r", Kind::Once, SERVED);
+  let mut history = baseline();
+  let mut late = request("r", Kind::Once, SERVED);
   late.ended = 30_000;
-  history.sent.push(late);
+  history.requests.push(late);
   let bounds = Bounds {
     timed: false,
     ..Bounds::default()
@@ -282,10 +295,10 @@
   assert!(check(&history, &bounds).is_empty());
 }
 
-/// A server that takes one request a second from 1 s on, and gets one every so many milliseconds
-/// from two instances.
-fn needy(pause_ms: u64) -> History {
-  let mut history = calm();
+/// A server that announces a limit of one request per second from 1 s on, and gets one request
+/// every `pause_ms` from two instances.
+fn limited(pause_ms: u64) -> History {
+  let mut history = baseline();
   history.limits.push(Limit {
     server: "a".into(),
     rate: 1.0,
@@ -299,11 +312,11 @@
       server: "a".into(),
       at,
     });
-    history.sent.push(Sent {
+    history.requests.push(Request {
       instance: number % 2,
       at,
       ended: at + 50,
-      ..sent(&id, Kind::Again, SERVED)
+      ..request(&id, Kind::Repeatable, SERVED)
     });
   }
   history
@@ -311,27 +324,30 @@
 
 #[test]
 fn a_server_in_need_gets_what_it_takes() {
-  assert!(broken(&needy(400)).is_empty(), "ten in four seconds");
-  assert_eq!(broken(&needy(300)), ["limit"], "thirteen in four seconds");
-  let mut untold = needy(300);
-  untold.sent.iter_mut().for_each(|sent| {
-    if matches!(sent.end, End::Success { .. }) && sent.id.starts_with('n') {
-      sent.end = End::Left;
+  assert!(broken(&limited(400)).is_empty(), "ten in four seconds");
+  assert_eq!(broken(&limited(300)), ["limit"], "thirteen in four seconds");
+  let mut without_notice = limited(300);
+  without_notice.requests.iter_mut().for_each(|request| {
+    if matches!(request.end, End::Success { .. }) && request.id.starts_with('n') {
+      request.end = End::Left;
     }
   });
-  assert!(broken(&untold).is_empty(), "nobody had heard of it");
-  let mut frozen = needy(300);
+  assert!(
+    broken(&without_notice).is_empty(),
+    "no instance received the limit"
+  );
+  let mut frozen = limited(300);
   frozen
-    .troubles
-    .push(trouble(Target::Instance(0), FROZEN, 2_000, 9_000));
+    .incidents
+    .push(incident(Target::Instance(0), FROZEN, 2_000, 9_000));
   assert!(broken(&frozen).is_empty(), "one of the two is excused");
 }
 
-/// A server said at 2,000 ms that it leaves; its instance passed that on at 2,200 ms, and sent it
-/// one more request so much later, ms.
-fn said(later_ms: u64) -> History {
-  let mut history = calm();
-  history.leavers.push(Leaver {
+/// A server announces its departure at 2,000 ms. The instance relays the notice at 2,200 ms and
+/// sends it one more request `later_ms` after that.
+fn announced(later_ms: u64) -> History {
+  let mut history = baseline();
+  history.departures.push(Departure {
     server: "a".into(),
     from: 2_000,
   });
@@ -341,11 +357,11 @@
       server: "a".into(),
       at,
     });
-    history.sent.push(Sent {
+    history.requests.push(Request {
       at,
       ended: at + 100,
       server: Some("a".into()),
-      ..sent(id, Kind::Again, SERVED)
+      ..request(id, Kind::Repeatable, SERVED)
     });
   }
   history
@@ -353,28 +369,34 @@
 
 #[test]
 fn a_server_that_says_that_it_leaves_gets_nothing_of_who_was_told() {
-  assert!(broken(&said(2_400)).is_empty());
-  assert_eq!(broken(&said(2_600)), ["said leaving"]);
-  let mut other = said(2_600);
-  let late = other.sent.iter_mut().find(|sent| sent.id == "late");
+  assert!(broken(&announced(2_400)).is_empty());
+  assert_eq!(broken(&announced(2_600)), ["said leaving"]);
+  let mut other = announced(2_600);
+  let late = other
+    .requests
+    .iter_mut()
+    .find(|request| request.id == "late");
   late.expect("a request").instance = 1;
-  assert!(broken(&other).is_empty(), "its instance was not told");
-  for (what, excuses) in [
+  assert!(broken(&other).is_empty(), "its instance had no notice");
+  for (cause, excuses) in [
     ("kill", true),
     (FROZEN, true),
     ("cut from the store", false),
   ] {
-    let mut struck = said(2_600);
+    let mut with_fault = announced(2_600);
     let target = Target::Instance(0);
-    struck.troubles.push(trouble(target, what, 3_000, 3_100));
-    assert_eq!(broken(&struck).is_empty(), excuses, "{what}");
+    with_fault
+      .incidents
+      .push(incident(target, cause, 3_000, 3_100));
+    assert_eq!(broken(&with_fault).is_empty(), excuses, "{cause}");
   }
 }
 
-/// A server asked for rest from 2,000 to 5,000 ms, and got so many requests after half a second.
-fn rested(requests: u64) -> History {
-  let mut history = calm();
-  history.rests.push(Rest {
+/// A server asks for a backoff from 2,000 to 5,000 ms, and gets this many requests more than half a
+/// second after it starts.
+fn backed_off(requests: u64) -> History {
+  let mut history = baseline();
+  history.backoffs.push(Backoff {
     server: "a".into(),
     id: "asked".into(),
     from: 2_000,
@@ -391,10 +413,10 @@
       server: "a".into(),
       at,
     });
-    history.sent.push(Sent {
+    history.requests.push(Request {
       at,
       ended: at + 10,
-      ..sent(&id, Kind::Again, declined)
+      ..request(&id, Kind::Repeatable, declined)
     });
   }
   history
@@ -402,48 +424,56 @@
 
 #[test]
 fn a_server_gets_two_requests_in_its_rest() {
-  assert!(broken(&rested(2)).is_empty());
-  assert_eq!(broken(&rested(3)), ["rest"]);
-  let mut others = rested(3);
-  let of = |sent: &&mut Sent| sent.id == "n1";
-  others.sent.iter_mut().find(of).expect("one").instance = 1;
+  assert!(broken(&backed_off(2)).is_empty());
+  assert_eq!(broken(&backed_off(3)), ["rest"]);
+  let mut others = backed_off(3);
+  let of = |request: &&mut Request| request.id == "n1";
+  others.requests.iter_mut().find(of).expect("one").instance = 1;
   assert!(
     broken(&others).is_empty(),
-    "it is between it and one instance"
+    "a backoff applies to one instance"
   );
-  for what in ["kill", FROZEN, "cut from the store"] {
-    let mut struck = rested(3);
+  for cause in ["kill", FROZEN, "cut from the store"] {
+    let mut with_fault = backed_off(3);
     let target = Target::Instance(0);
-    struck.troubles.push(trouble(target, what, 3_000, 3_100));
-    assert!(broken(&struck).is_empty(), "{what}");
+    with_fault
+      .incidents
+      .push(incident(target, cause, 3_000, 3_100));
+    assert!(broken(&with_fault).is_empty(), "{cause}");
   }
 }
 
-/// A server left at 5,000 ms while all was sound; its instance sent a request there 8 s later, after
-/// the store had come back from a copy.
-fn back() -> History {
-  let mut history = calm();
+/// A server left at 5,000 ms without any fault. The instance sends it a request 8 s later, after
+/// the store was restored from a copy.
+fn restored() -> History {
+  let mut history = baseline();
   history.drained.push(("a".into(), 5_000));
   history.runs.push(run("late", "a", 13_000));
-  history.sent.push(Sent {
+  history.requests.push(Request {
     at: 12_990,
     ended: 13_050,
-    ..sent("late", Kind::Again, SERVED)
+    ..request("late", Kind::Repeatable, SERVED)
   });
-  let returned = trouble(Target::Store, "store", 9_000, 12_000);
-  history.troubles.push(returned);
+  let returned = incident(Target::Store, "store", 9_000, 12_000);
+  history.incidents.push(returned);
   history
 }
 
 #[test]
 fn a_server_that_was_known_to_leave_stays_so_over_the_stores_return() {
-  assert_eq!(broken(&back()), ["back"]);
-  let mut restarted = back();
-  let killed = trouble(Target::Instance(0), "kill", 9_000, 10_000);
-  restarted.troubles.push(killed);
-  assert!(broken(&restarted).is_empty(), "it had to learn it anew");
-  let mut unknown = back();
-  let store = trouble(Target::Store, "store", 5_500, 6_000);
-  unknown.troubles.push(store);
-  assert!(broken(&unknown).is_empty(), "it may not have known it");
+  assert_eq!(broken(&restored()), ["back"]);
+  let mut restarted = restored();
+  let killed = incident(Target::Instance(0), "kill", 9_000, 10_000);
+  restarted.incidents.push(killed);
+  assert!(
+    broken(&restarted).is_empty(),
+    "the restart lost the departure"
+  );
+  let mut unknown = restored();
+  let store = incident(Target::Store, "store", 5_500, 6_000);
+  unknown.incidents.push(store);
+  assert!(
+    broken(&unknown).is_empty(),
+    "the instance may not have known"
+  );
 }
--- a/soak/tests/plan.rs
+++ b/soak/tests/plan.rs
@@ -1,4 +1,4 @@
-//! Plans of faults follow from their seed.
+//! Plans of faults are determined by their seed.
 
 use quickcheck::quickcheck;
 use soak::plan::{Size, generate};
