--- a/soak/src/world/mod.rs
+++ b/soak/src/world/mod.rs
@@ -1,10 +1,10 @@
 //! A deployment of real instances against stand-ins, and the faults injected into it.
 
+mod collect;
 mod configuration;
 mod faults;
-mod gather;
 mod member;
-mod place;
+mod slot;
 mod store;
 mod watchers;
 
@@ -15,8 +15,8 @@
   switch::Break,
 };
 use member::Member;
-use place::Slot;
 use platform_stand_in::{runner::Runner, store::Store};
+use slot::Slot;
 use std::{
   io,
   path::PathBuf,
--- a/soak/src/world/store.rs
+++ b/soak/src/world/store.rs
@@ -1,6 +1,6 @@
 //! Faults of the platform's store.
 
-use super::{World, lock, place::ENTRY_EXPIRY};
+use super::{World, lock, slot::ENTRY_EXPIRY};
 use crate::{history::Target, plan::Store as StoreFault};
 use platform_stand_in::{runner::Runner, store::Fate};
 use std::{sync::MutexGuard, thread, time::Duration};
