--- a/soak/src/load.rs
+++ b/soak/src/load.rs
@@ -2,9 +2,9 @@
 
 use crate::history::{End, Kind, Recorder, Request};
 use platform_stand_in::{
-  client::{self, Answer, Ask},
+  client::{self, Answer, Outgoing},
   deployment::MODELS,
-  runner::{EVENTS, event, whole},
+  runner::{EVENTS, encode_event, plain_body},
 };
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use std::{
@@ -158,7 +158,7 @@
   };
   let mut stream = stream;
   let path = format!("/{}/x", kind.route());
-  let request = Ask {
+  let request = Outgoing {
     method: "POST",
     path: &path,
     id,
@@ -175,7 +175,7 @@
   let Some(answer) = client::read(&mut stream, "POST") else {
     return unanswered(End::Closed);
   };
-  let keep_alive = answer.whole && answer.keeps();
+  let keep_alive = answer.is_complete && answer.keep_alive();
   let end = outcome_end(kind, id, &answer);
   let unexpected_body = (end == End::Success { intact: false }).then(|| answer.text());
   Outcome {
@@ -187,19 +187,21 @@
 }
 
 fn outcome_end(kind: Kind, id: &str, answer: &Answer) -> End {
-  if !answer.whole {
+  if !answer.is_complete {
     return End::Truncated;
   }
   if answer.status == 200 {
     let body = match kind {
-      Kind::Stream | Kind::StreamOnce => (1..=EVENTS).map(|number| event(id, number)).collect(),
-      _ => whole(id),
+      Kind::Stream | Kind::StreamOnce => (1..=EVENTS)
+        .map(|number| encode_event(id, number))
+        .collect(),
+      _ => plain_body(id),
     };
-    let intact = answer.signed() && answer.text() == body;
+    let intact = answer.is_signed() && answer.text() == body;
     return End::Success { intact };
   }
   End::Failure {
     status: answer.status,
-    signed: answer.signed(),
+    signed: answer.is_signed(),
   }
 }
--- a/soak/src/world/collect.rs
+++ b/soak/src/world/collect.rs
@@ -29,7 +29,11 @@
 
   /// Adds what a server announced in responses, and the requests that reached it.
   fn collect_announcements(&self, runner: &Runner, history: &mut History) {
-    let (limits, backoffs, leaving_at) = (runner.limits(), runner.rests(), runner.leaving());
+    let (limits, backoffs, leaving_at) = (
+      runner.limit_changes(),
+      runner.rejections(),
+      runner.leaving_since(),
+    );
     if limits.is_empty() && backoffs.is_empty() && leaving_at.is_none() {
       return;
     }
@@ -72,14 +76,14 @@
   pub(super) fn collect(&self) -> History {
     let mut history = self.recorder.record(std::mem::take);
     for runner in lock(&self.runners).iter() {
-      for seen in runner.seen() {
+      for seen in runner.executed() {
         history.runs.push(Run {
           id: seen.id,
           server: runner.id.clone(),
           at: self.recorder.ms_at(seen.at),
         });
       }
-      for order in runner.commands() {
+      for order in runner.received_orders() {
         history.orders.push(Order {
           server: runner.id.clone(),
           holder: order.holder().to_string(),
@@ -90,7 +94,7 @@
       self.collect_announcements(runner, &mut history);
       let holds = self.model_holds(runner, &history.removed);
       history.holds.extend(holds);
-      let excess_loads = runner.overfull();
+      let excess_loads = runner.overcommitted_loads();
       if excess_loads > 0 {
         history
           .overcommitted
--- a/soak/src/world/configuration.rs
+++ b/soak/src/world/configuration.rs
@@ -4,7 +4,7 @@
 use crate::switch::Break;
 use platform_stand_in::{
   deployment::{MODELS, config, route},
-  runner::Mood,
+  runner::Behavior,
   store::Store,
 };
 use serde_json::{Value, json};
@@ -24,15 +24,15 @@
 
 impl World {
   /// Behavior of all servers without a fault.
-  pub(super) fn default_mood(&self) -> Mood {
-    let mut mood = Mood {
+  pub(super) fn default_mood(&self) -> Behavior {
+    let mut mood = Behavior {
       work: Duration::from_millis(20),
-      ..Mood::default()
+      ..Behavior::default()
     };
     match self.switch {
-      Some(Break::Limit | Break::Say | Break::Rest) => mood.unnamed = true,
-      Some(Break::Lie) => mood.lie = 5,
-      Some(Break::Mix) => mood.mix = 5,
+      Some(Break::Limit | Break::Say | Break::Rest) => mood.omit_status_headers = true,
+      Some(Break::Lie) => mood.false_not_run = 5,
+      Some(Break::Mix) => mood.wrong_response = 5,
       Some(Break::Repeat) => mood.lose = 10,
       Some(Break::Patience | Break::Grace) => mood.work = Duration::from_millis(4_000),
       Some(Break::Policy) => mood.work = Duration::from_millis(400),
--- a/soak/src/world/mod.rs
+++ b/soak/src/world/mod.rs
@@ -128,7 +128,7 @@
   fn prepare(&self) {
     self.configure();
     for slot in &self.slots {
-      lock(&slot.runner).mood(self.default_mood());
+      lock(&slot.runner).set_behavior(self.default_mood());
     }
     for member in &self.members {
       lock(&member.instance).wait_ready();
--- a/soak/src/world/slot.rs
+++ b/soak/src/world/slot.rs
@@ -4,7 +4,7 @@
 use crate::{history::Target, plan::Server, switch::Break};
 use platform_stand_in::{
   deployment::MODELS,
-  runner::{Mood, Runner},
+  runner::{Behavior, Runner},
   store::Store,
 };
 use stand_ins::proxy::{Fault as ProxyFault, Proxy};
@@ -70,12 +70,12 @@
       Server::Delay => delay_temporarily(&slot.proxy, duration),
       Server::Slow => {
         let work = mood.work * 10;
-        set_mood_temporarily(&runner, Mood { work, ..mood }, mood, duration);
+        set_mood_temporarily(&runner, Behavior { work, ..mood }, mood, duration);
       }
-      Server::Fails => set_mood_temporarily(&runner, Mood { fail: 40, ..mood }, mood, duration),
+      Server::Fails => set_mood_temporarily(&runner, Behavior { fail: 40, ..mood }, mood, duration),
       Server::Declines => set_mood_temporarily(
         &runner,
-        Mood {
+        Behavior {
           decline: 40,
           ..mood
         },
@@ -83,30 +83,30 @@
         duration,
       ),
       Server::LosesAnswers => {
-        set_mood_temporarily(&runner, Mood { lose: 20, ..mood }, mood, duration)
+        set_mood_temporarily(&runner, Behavior { lose: 20, ..mood }, mood, duration)
       }
       Server::BreaksStreams => {
-        set_mood_temporarily(&runner, Mood { cut: 30, ..mood }, mood, duration)
+        set_mood_temporarily(&runner, Behavior { cut: 30, ..mood }, mood, duration)
       }
       Server::Says => {
-        runner.leave();
+        runner.announce_leaving();
         thread::sleep(duration);
         self.drain(slot, &mut runner, true);
       }
       Server::Rest(tenths) => {
         let seconds = f64::from(tenths) / 10.0;
-        runner.rest(Some(&seconds.to_string()));
+        runner.set_backoff(Some(&seconds.to_string()));
         thread::sleep(duration);
-        runner.rest(None);
+        runner.set_backoff(None);
       }
       Server::Limit(in_ten_seconds) => {
-        runner.limit(Some(f64::from(in_ten_seconds) / 10.0));
+        runner.set_limit(Some(f64::from(in_ten_seconds) / 10.0));
         thread::sleep(duration);
-        runner.limit(None);
+        runner.set_limit(None);
       }
       Server::OrdersLate => {
         self.late_orders.store(true, Ordering::Relaxed);
-        set_mood_temporarily(&runner, Mood { late: 50, ..mood }, mood, duration);
+        set_mood_temporarily(&runner, Behavior { late: 50, ..mood }, mood, duration);
       }
     }
     self.recorder.end_incident(incident);
@@ -114,7 +114,7 @@
 
   /// The server crashes, and another one starts at its address.
   fn crash(&self, slot: &Slot, runner: &mut Runner, duration: Duration) {
-    runner.end();
+    runner.kill();
     self.record_removal(&runner.id);
     slot.proxy.fault(ProxyFault::Refuse);
     thread::sleep(ENTRY_EXPIRY);
@@ -126,13 +126,13 @@
 
   /// The server crashes and restarts with the same id and address, while its entry stays.
   fn restart(&self, slot: &Slot, runner: &mut Runner, duration: Duration) {
-    runner.end();
+    runner.kill();
     slot.proxy.fault(ProxyFault::Refuse);
     thread::sleep(duration);
     slot.proxy.fault(ProxyFault::None);
     let id = runner.id.clone();
     *runner = start_runner(&self.store, &slot.proxy, &id, slot.service, &[]);
-    runner.mood(self.default_mood());
+    runner.set_behavior(self.default_mood());
     lock(&self.runners).push(runner.clone());
   }
 
@@ -143,7 +143,7 @@
     let id = runner.id.clone();
     if self.switch != Some(Break::Leave) {
       match announced {
-        true => runner.beat("draining"),
+        true => runner.write_entry("draining"),
         false => self.remove_entry(&id),
       }
     }
@@ -152,7 +152,7 @@
       .record(|history| history.drained.push((id, at)));
     thread::sleep(SERVES_AFTER_REMOVAL * 2);
     self.remove_entry(&runner.id);
-    runner.end();
+    runner.kill();
     slot.proxy.cut();
     self.replace(slot, runner);
   }
@@ -175,15 +175,15 @@
     let name = runner.id.split('.').next().unwrap_or_default();
     let id = format!("{name}.{}", start + 1);
     *runner = start_runner(&self.store, &slot.proxy, &id, slot.service, &[]);
-    runner.mood(self.default_mood());
+    runner.set_behavior(self.default_mood());
     lock(&self.runners).push(runner.clone());
   }
 }
 
-fn set_mood_temporarily(runner: &Runner, mood: Mood, normal: Mood, duration: Duration) {
-  runner.mood(mood);
+fn set_mood_temporarily(runner: &Runner, mood: Behavior, normal: Behavior, duration: Duration) {
+  runner.set_behavior(mood);
   thread::sleep(duration);
-  runner.mood(normal);
+  runner.set_behavior(normal);
 }
 
 fn delay_temporarily(proxy: &Proxy, duration: Duration) {
--- a/soak/src/world/store.rs
+++ b/soak/src/world/store.rs
@@ -2,7 +2,7 @@
 
 use super::{World, lock, slot::ENTRY_EXPIRY};
 use crate::{history::Target, plan::Store as StoreFault};
-use platform_stand_in::{runner::Runner, store::Fate};
+use platform_stand_in::{runner::Runner, store::Mode};
 use std::{sync::MutexGuard, thread, time::Duration};
 
 /// Delay after a restore until the operator writes the configuration again, and pause between the
@@ -21,15 +21,15 @@
   pub(super) fn inject_store_fault(&self, fault: StoreFault, duration: Duration) {
     let incident = self.recorder.start_incident(Target::Store, "store");
     match fault {
-      StoreFault::Forgets => self.store.forget(),
-      StoreFault::Down => self.set_fate_temporarily(Fate::Refuses, duration),
-      StoreFault::Silent => self.set_fate_temporarily(Fate::Mute, duration),
+      StoreFault::Forgets => self.store.compact(),
+      StoreFault::Down => self.set_fate_temporarily(Mode::Refuses, duration),
+      StoreFault::Silent => self.set_fate_temporarily(Mode::Silent, duration),
       StoreFault::Slow => {
-        self.set_fate_temporarily(Fate::Slow(Duration::from_millis(250)), duration)
+        self.set_fate_temporarily(Mode::Slow(Duration::from_millis(250)), duration)
       }
-      StoreFault::LosesAnswers => self.set_fate_temporarily(Fate::Loses, duration),
+      StoreFault::LosesAnswers => self.set_fate_temporarily(Mode::LosesResponses, duration),
       StoreFault::WritesLate => {
-        self.set_fate_temporarily(Fate::Late(Duration::from_millis(1_200)), duration)
+        self.set_fate_temporarily(Mode::WritesLate(Duration::from_millis(1_200)), duration)
       }
       StoreFault::Lapse => self.expire_entries(duration),
       StoreFault::Foreign => self.add_foreign_entries(duration),
@@ -55,12 +55,12 @@
   /// Takes the store down and restores it from a copy. The operator and the servers then write
   /// their entries again, each after a delay.
   fn restore_store(&self, age_ms: u64, duration: Duration) {
-    let copy = self.store.copy();
+    let copy = self.store.snapshot();
     thread::sleep(Duration::from_millis(age_ms));
-    self.store.fate(Fate::Refuses);
+    self.store.set_mode(Mode::Refuses);
     thread::sleep(duration);
     self.store.restore(&copy);
-    self.store.fate(Fate::Answers);
+    self.store.set_mode(Mode::Answers);
     thread::sleep(OPERATOR_DELAY);
     self.rewrite_configuration();
     let runners = lock(&self.runners).clone();
@@ -71,7 +71,7 @@
     };
     for runner in runners.iter().filter(|runner| !is_removed(&runner.id)) {
       thread::sleep(HEARTBEAT_PAUSE);
-      runner.beat_again();
+      runner.rewrite_entry();
     }
     thread::sleep(ENTRY_EXPIRY * 3);
     for runner in runners.iter().filter(|runner| is_removed(&runner.id)) {
@@ -79,24 +79,26 @@
     }
   }
 
-  fn set_fate_temporarily(&self, fate: Fate, duration: Duration) {
-    self.store.fate(fate);
+  fn set_fate_temporarily(&self, fate: Mode, duration: Duration) {
+    self.store.set_mode(fate);
     thread::sleep(duration);
-    self.store.fate(Fate::Answers);
+    self.store.set_mode(Mode::Answers);
   }
 
   /// Takes the store down and removes the entries of servers. The servers write them again shortly
   /// after the store is back.
   fn expire_entries(&self, duration: Duration) {
-    self.store.fate(Fate::Refuses);
+    self.store.set_mode(Mode::Refuses);
     thread::sleep(duration);
     let runners: Vec<MutexGuard<Runner>> =
       self.slots.iter().map(|slot| lock(&slot.runner)).collect();
     runners
       .iter()
       .for_each(|runner| self.store.remove("servers", &runner.id));
-    self.store.fate(Fate::Answers);
+    self.store.set_mode(Mode::Answers);
     thread::sleep(ENTRY_EXPIRY);
-    runners.iter().for_each(|runner| runner.beat("ready"));
+    runners
+      .iter()
+      .for_each(|runner| runner.write_entry("ready"));
   }
 }
--- a/soak/src/world/watchers.rs
+++ b/soak/src/world/watchers.rs
@@ -3,7 +3,7 @@
 
 use super::{Options, World, lock};
 use crate::{history::Probe, load};
-use platform_stand_in::client::{self, Ask, DEADLINE_MS};
+use platform_stand_in::client::{self, DEADLINE_MS, Outgoing};
 use std::{
   net::SocketAddr,
   sync::{Arc, atomic::Ordering},
@@ -73,7 +73,7 @@
 
   fn query_version(&self, address: SocketAddr, version: u64) -> Option<u16> {
     let path = format!("/version-{version}/x");
-    let request = Ask {
+    let request = Outgoing {
       method: "POST",
       path: &path,
       id: "probe",
