--- a/soak/src/world/slot.rs
+++ b/soak/src/world/slot.rs
@@ -193,7 +193,7 @@
 }
 
 fn start_runner(store: &Store, proxy: &Proxy, id: &str, service: &str, models: &[&str]) -> Runner {
-  Runner::start_behind(store, id, service, models, |address| {
+  Runner::start_behind_proxy(store, id, service, models, |address| {
     proxy.retarget(address);
     proxy.address
   })
--- a/soak/src/world/watchers.rs
+++ b/soak/src/world/watchers.rs
@@ -90,7 +90,7 @@
     let health = lock(&self.members[instance].instance).health;
     let mut misses = 0;
     while !self.is_stopped() {
-      let ready = client::ready(health);
+      let ready = client::is_ready(health);
       misses = if ready { 0 } else { misses + 1 };
       let (_, receives_callers) = &self.traffic.instances[instance];
       receives_callers.store(misses < MAX_MISSES, Ordering::Relaxed);
