--- a/stand-ins/src/bench.rs
+++ b/stand-ins/src/bench.rs
@@ -2,7 +2,7 @@
 //! two ways of sharing a replica's slots, each against the other in one run.
 
 use crate::{
-  caller::{Answer, Ask},
+  caller::{Answer, Request},
   capacity::memory_mb,
   engine::answer,
   fleet::{Fleet, Plan},
@@ -81,12 +81,12 @@
     .instances(1)
     .engines(1, |options| options.token = Duration::ZERO)
     .start()?;
-  Ask::of("model", "warm", 1).send(fleet.callers(0));
+  Request::of("model", "warm", 1).send(fleet.callers(0));
   let replica = replica(&fleet);
   let (mut through, mut straight) = (Vec::new(), Vec::new());
   for at in 0..REQUESTS {
     let prompt = format!("prompt {at}");
-    let reply = Ask::of("model", &prompt, TOKENS).send(fleet.callers(0));
+    let reply = Request::of("model", &prompt, TOKENS).send(fleet.callers(0));
     assert!(reply.is(&answer(&prompt, TOKENS as usize)), "{reply:?}");
     through.push(reply.first.as_secs_f64() * 1_000.0);
     straight.push(direct(&fleet, replica, &prompt).as_secs_f64() * 1_000.0);
@@ -108,12 +108,12 @@
       options.token = Duration::from_millis(100);
     })
     .start()?;
-  Ask::of("model", "warm", 1).send(fleet.callers(0));
+  Request::of("model", "warm", 1).send(fleet.callers(0));
   let rest = memory_mb(&fleet);
   let threads: Vec<_> = (0..STREAMS)
     .map(|at| {
       let address = fleet.callers(0).to_string();
-      let run = move || Ask::of("model", &format!("{at}"), 60).send(&address);
+      let run = move || Request::of("model", &format!("{at}"), 60).send(&address);
       thread::Builder::new().stack_size(128 << 10).spawn(run)
     })
     .collect::<Result<_, _>>()?;
@@ -152,7 +152,7 @@
     let threads: Vec<_> = (0..BURST)
       .map(|at| {
         let address = fleet.callers(at).to_string();
-        let run = move || Ask::of("model", &format!("{at}"), TOKENS).send(&address);
+        let run = move || Request::of("model", &format!("{at}"), TOKENS).send(&address);
         thread::Builder::new().stack_size(128 << 10).spawn(run)
       })
       .collect::<Result<_, _>>()?;
@@ -174,7 +174,7 @@
     .map(|member| retries(&member.operators));
   Ok(json!({
     "firstP50S": quantile(&first, 0.5), "firstP99S": quantile(&first, 0.99),
-    "mostQueuedAtEngine": fleet.engines[0].crowd(), "declinedAttempts": metrics.fold(0.0, |sum, count| sum + count),
+    "mostQueuedAtEngine": fleet.engines[0].peak_waiting(), "declinedAttempts": metrics.fold(0.0, |sum, count| sum + count),
   }))
 }
 
--- a/stand-ins/src/caller.rs
+++ b/stand-ins/src/caller.rs
@@ -54,7 +54,7 @@
 
 /// A completion to ask for.
 #[derive(Clone, Debug)]
-pub struct Ask {
+pub struct Request {
   pub model: String,
   pub prompt: String,
   pub tokens: u32,
@@ -64,7 +64,7 @@
   pub caller: String,
 }
 
-impl Ask {
+impl Request {
   /// A streamed, interactive completion.
   pub fn of(model: &str, prompt: &str, tokens: u32) -> Self {
     Self {
--- a/stand-ins/src/capacity.rs
+++ b/stand-ins/src/capacity.rs
@@ -2,7 +2,7 @@
 //! load or claim costs an instance and the platform.
 
 use crate::{
-  caller::{self, Ask},
+  caller::{self, Request},
   fleet::{Fleet, Plan},
 };
 use bendsaddle::object::Kind;
@@ -237,7 +237,7 @@
       for at in 0..rate * WINDOW.as_secs() {
         let address = fleet.callers(at as usize).to_string();
         let model = format!("model-{:05}", at % 400);
-        let ask = move || Ask::of(&model, "wake", 1).send(&address);
+        let ask = move || Request::of(&model, "wake", 1).send(&address);
         // The answer is not needed: the cost is.
         drop(thread::spawn(ask));
         thread::sleep(Duration::from_millis(1_000 / rate));
@@ -254,10 +254,10 @@
   let mut points = Vec::new();
   for rate in [0_u64, 60, 180] {
     let fleet = plan(program, 3, 2, 10).start()?;
-    let warm = Ask::of("model-00001", "warm", 1).send(fleet.callers(0));
+    let warm = Request::of("model-00001", "warm", 1).send(fleet.callers(0));
     assert_eq!(warm.status, 200, "{warm:?}");
     thread::sleep(REST);
-    let ask = |address: &str| Ask::of("model-00001", "prompt", 1).send(address);
+    let ask = |address: &str| Request::of("model-00001", "prompt", 1).send(address);
     let measured = measure(&fleet, || drop(send_at(&fleet, rate, ask)));
     points.push(point("requests", rate as f64 / 3.0, &measured));
   }
--- a/stand-ins/src/demo.rs
+++ b/stand-ins/src/demo.rs
@@ -2,7 +2,7 @@
 //! once, answered whole.
 
 use crate::{
-  caller::Ask,
+  caller::Request,
   engine::{Engine, answer},
   fleet::{Fleet, Plan},
 };
@@ -56,7 +56,7 @@
     let address = fleet.callers(at).to_string();
     threads.push(thread::spawn(move || {
       let prompt = format!("question {at}");
-      let ask = Ask::of(&format!("model-{}", at % MODELS), &prompt, TOKENS);
+      let ask = Request::of(&format!("model-{}", at % MODELS), &prompt, TOKENS);
       let reply = ask.send(&address);
       (reply.is(&answer(&prompt, TOKENS as usize)), reply.first)
     }));
--- a/stand-ins/src/engine/census.rs
+++ b/stand-ins/src/engine/census.rs
@@ -25,7 +25,7 @@
 }
 
 /// Replicas of a model that its record wants loaded.
-pub fn wanted(platform: &Platform, model: &str) -> usize {
+pub fn target_loaded(platform: &Platform, model: &str) -> usize {
   let record = platform.record(model);
   let replicas = record.replicas.iter();
   replicas
--- a/stand-ins/src/engine/mod.rs
+++ b/stand-ins/src/engine/mod.rs
@@ -6,7 +6,7 @@
 mod orders;
 mod state;
 
-pub use census::{census, wanted};
+pub use census::{census, target_loaded};
 
 use crate::{http, platform::Platform, store::Store};
 use bendsaddle::{
@@ -192,7 +192,7 @@
   }
 
   /// Most requests that waited for a slot at once.
-  pub fn crowd(&self) -> u32 {
+  pub fn peak_waiting(&self) -> u32 {
     lock(&self.inner).crowd
   }
 }
--- a/stand-ins/src/faults.rs
+++ b/stand-ins/src/faults.rs
@@ -2,7 +2,7 @@
 //! time until the system does its work again.
 
 use crate::{
-  caller::{self, Ask},
+  caller::{self, Request},
   fleet::{Fleet, Plan},
   proxy::Fault,
 };
@@ -29,7 +29,9 @@
 }
 
 fn ask(fleet: &Fleet, at: usize) -> bool {
-  Ask::of("model", "prompt", 2).send(fleet.callers(at)).whole
+  Request::of("model", "prompt", 2)
+    .send(fleet.callers(at))
+    .whole
 }
 
 /// Time until a condition holds.
@@ -51,7 +53,7 @@
   let addresses: Vec<String> = fleet.members.iter().map(|m| m.callers.clone()).collect();
   let send = |address: &String| {
     let address = address.clone();
-    thread::spawn(move || Ask::of("model", "prompt", 2).send(&address))
+    thread::spawn(move || Request::of("model", "prompt", 2).send(&address))
   };
   let threads: Vec<_> = addresses.iter().map(send).collect();
   until(|| fleet.loads() > 0);
@@ -134,7 +136,7 @@
 fn platform_returns(fleet: &mut Fleet) -> f64 {
   fleet.platform_proxy.fault(Fault::Refuse);
   let address = fleet.callers(0).to_string();
-  let request = thread::spawn(move || Ask::of("model", "prompt", 2).send(&address));
+  let request = thread::spawn(move || Request::of("model", "prompt", 2).send(&address));
   thread::sleep(Duration::from_secs(3));
   fleet.platform_proxy.fault(Fault::None);
   let start = Instant::now();
--- a/stand-ins/src/fleet.rs
+++ b/stand-ins/src/fleet.rs
@@ -423,6 +423,6 @@
 }
 
 /// An address with nothing behind it.
-pub fn nowhere() -> io::Result<SocketAddr> {
+pub fn unused_address() -> io::Result<SocketAddr> {
   std::net::TcpListener::bind("127.0.0.1:0")?.local_addr()
 }
--- a/stand-ins/src/trace.rs
+++ b/stand-ins/src/trace.rs
@@ -2,7 +2,7 @@
 //! policies, paired by trace and seed.
 
 use crate::{
-  caller::{self, Answer, Ask},
+  caller::{self, Answer, Request},
   engine::{Engine, answer},
   fleet::{Fleet, Plan},
   store::Store,
@@ -202,7 +202,7 @@
     let builder = thread::Builder::new().stack_size(128 << 10);
     threads.push(builder.spawn(move || {
       let model = format!("model-{}", arrival.model);
-      let ask = Ask::of(&model, &arrival.prompt, TOKENS).within(Duration::from_secs(15));
+      let ask = Request::of(&model, &arrival.prompt, TOKENS).within(Duration::from_secs(15));
       let reply = ask.send(&address);
       let whole = reply.is(&answer(&arrival.prompt, TOKENS as usize));
       (whole, reply)
@@ -288,7 +288,7 @@
     crowd: fleet
       .engines
       .iter()
-      .map(Engine::crowd)
+      .map(Engine::peak_waiting)
       .max()
       .unwrap_or_default(),
     ..Outcome::default()
--- a/tests/answers.rs
+++ b/tests/answers.rs
@@ -3,7 +3,7 @@
 use bendsaddle::{report::Stage, verdict::Verdict};
 use serde_json::json;
 use stand_ins::{
-  caller::{self, Ask},
+  caller::{self, Request},
   engine::{Engine, answer},
   fleet::{Fleet, Plan, wait_for},
   proxy::Fault,
@@ -21,7 +21,7 @@
 }
 
 fn complete(fleet: &Fleet, instance: usize, prompt: &str) -> caller::Answer {
-  Ask::of("contracts", prompt, TOKENS as u32).send(fleet.callers(instance))
+  Request::of("contracts", prompt, TOKENS as u32).send(fleet.callers(instance))
 }
 
 fn warm(fleet: &Fleet) {
@@ -78,7 +78,8 @@
       == 2
   });
   let address = fleet.callers(0).to_string();
-  let request = thread::spawn(move || Ask::of("contracts", "moved", TOKENS as u32).send(&address));
+  let request =
+    thread::spawn(move || Request::of("contracts", "moved", TOKENS as u32).send(&address));
   wait_for("the stream to run", || run_count(&fleet) == 1);
   let busy = usize::from(fleet.engines[1].busy() > 0);
   fleet.proxies[busy].fault(Fault::Refuse);
@@ -94,7 +95,7 @@
   let before = run_count(&fleet);
   fleet.proxies[0].fault(fault);
   let deadline = Duration::from_millis(2_500);
-  let reply = Ask::of("contracts", "cut", TOKENS as u32)
+  let reply = Request::of("contracts", "cut", TOKENS as u32)
     .within(deadline)
     .send(fleet.callers(1));
   fleet.proxies[0].fault(Fault::None);
@@ -117,7 +118,7 @@
   let before = run_count(&fleet);
   fleet.proxies[0].fault(Fault::Refuse);
   let deadline = Duration::from_millis(1_500);
-  let reply = Ask::of("contracts", "refused", 5)
+  let reply = Request::of("contracts", "refused", 5)
     .within(deadline)
     .send(fleet.callers(1));
   assert_eq!(reply.verdict, Verdict::NotRun.as_str(), "{reply:?}");
@@ -222,7 +223,7 @@
   let window = json!({ "model": "contracts", "prompts": ["a"], "completion_window_ms": 0 });
   let error = message(post("/v1/batches", &window.to_string()));
   assert!(error.contains("completion_window_ms: `0`"), "{error}");
-  let unknown = Ask::of("nobody", "prompt", 5).send(fleet.callers(0));
+  let unknown = Request::of("nobody", "prompt", 5).send(fleet.callers(0));
   assert_eq!(
     (unknown.status, unknown.reason.as_str()),
     (404, "unknown-model")
@@ -242,7 +243,7 @@
   let threads: Vec<_> = (0..12)
     .map(|at| {
       let address = address.clone();
-      thread::spawn(move || Ask::of("contracts", &format!("{at}"), 5).send(&address))
+      thread::spawn(move || Request::of("contracts", &format!("{at}"), 5).send(&address))
     })
     .collect();
   let replies: Vec<_> = threads
--- a/tests/batch.rs
+++ b/tests/batch.rs
@@ -12,7 +12,7 @@
 };
 use serde_json::{Value, json};
 use stand_ins::{
-  caller::{self, Ask},
+  caller::{self, Request},
   engine::answer,
   fleet::{Fleet, Plan, wait_for},
   proxy::Fault,
@@ -165,14 +165,14 @@
     })
     .start()
     .unwrap();
-  let warm = Ask::of("archive", "warm", 2).send(fleet.callers(0));
+  let warm = Request::of("archive", "warm", 2).send(fleet.callers(0));
   assert!(warm.is(&answer("warm", 2)), "{warm:?}");
   let id = accepted_id(&submit(&fleet, 0, "night", 40, 60_000));
   wait_for("an item to run", || fleet.engines[0].runs().len() > 1);
   let threads: Vec<_> = (0..12)
     .map(|at| {
       let address = fleet.callers(at).to_string();
-      thread::spawn(move || Ask::of("archive", &format!("clerk {at}"), 5).send(&address))
+      thread::spawn(move || Request::of("archive", &format!("clerk {at}"), 5).send(&address))
     })
     .collect();
   for (at, thread) in threads.into_iter().enumerate() {
--- a/tests/commands.rs
+++ b/tests/commands.rs
@@ -2,7 +2,7 @@
 
 use serde_json::{Value, json};
 use stand_ins::{
-  caller::{self, Ask},
+  caller::{self, Request},
   engine::answer,
   fleet::{Fleet, Plan, wait_for},
 };
@@ -38,7 +38,7 @@
 fn the_time_line_merges_all_instances() {
   let fleet = fleet();
   for at in 0..3 {
-    let reply = Ask::of("contracts", "prompt", 3)
+    let reply = Request::of("contracts", "prompt", 3)
       .by(&format!("caller {at}"))
       .send(fleet.callers(at));
     assert!(reply.is(&answer("prompt", 3)), "{reply:?}");
@@ -82,7 +82,7 @@
   let fleet = fleet();
   for caller in 0..24 {
     let name = format!("caller {caller}");
-    let reply = Ask::of("contracts", &name, 3)
+    let reply = Request::of("contracts", &name, 3)
       .by(&name)
       .send(fleet.callers(caller));
     assert!(reply.is(&answer(&name, 3)), "{reply:?}");
@@ -124,9 +124,9 @@
 #[test]
 fn metrics_are_scraped_by_policy_reason_and_verdict() {
   let fleet = fleet();
-  let reply = Ask::of("contracts", "prompt", 3).send(fleet.callers(0));
+  let reply = Request::of("contracts", "prompt", 3).send(fleet.callers(0));
   assert_eq!(reply.status, 200);
-  let unknown = Ask::of("nobody", "prompt", 3).send(fleet.callers(0));
+  let unknown = Request::of("nobody", "prompt", 3).send(fleet.callers(0));
   assert_eq!(unknown.status, 404);
   let metrics = || caller::get(&fleet.members[0].operators, "/metrics").raw;
   wait_for("the cold start to be counted", || {
--- a/tests/leaving.rs
+++ b/tests/leaving.rs
@@ -3,7 +3,7 @@
 use bendsaddle::fact::MachineState;
 use serde_json::json;
 use stand_ins::{
-  caller::{self, Ask},
+  caller::{self, Request},
   engine::answer,
   fleet::{Fleet, Plan, wait_for},
   proxy::Fault,
@@ -31,7 +31,7 @@
 }
 
 fn assert_served(fleet: &Fleet, instance: usize, prompt: &str) {
-  let reply = Ask::of("contracts", prompt, 5).send(fleet.callers(instance));
+  let reply = Request::of("contracts", prompt, 5).send(fleet.callers(instance));
   assert!(reply.is(&answer(prompt, 5)), "{reply:?}");
 }
 
@@ -112,7 +112,7 @@
     .start()
     .unwrap();
   let address = fleet.callers(0).to_string();
-  let request = thread::spawn(move || Ask::of("contracts", "moved", 5).send(&address));
+  let request = thread::spawn(move || Request::of("contracts", "moved", 5).send(&address));
   wait_for("a load", || fleet.loads() == 1);
   let old = engine_index(&fleet);
   fleet
@@ -188,7 +188,7 @@
       targets[at % targets.len()].clone()
     };
     let prompt = format!("load {caller} {at}");
-    let reply = Ask::of("contracts", &prompt, 10).send(&target);
+    let reply = Request::of("contracts", &prompt, 10).send(&target);
     if reply.is(&answer(&prompt, 10)) {
       completed += 1;
     } else {
--- a/tests/outage.rs
+++ b/tests/outage.rs
@@ -2,7 +2,7 @@
 
 use serde_json::json;
 use stand_ins::{
-  caller::Ask,
+  caller::Request,
   engine::answer,
   fleet::{Fleet, Plan, wait_for},
   proxy::Fault,
@@ -20,7 +20,7 @@
 }
 
 fn served(fleet: &Fleet, at: usize, model: &str, prompt: &str) {
-  let reply = Ask::of(model, prompt, 5).send(fleet.callers(at));
+  let reply = Request::of(model, prompt, 5).send(fleet.callers(at));
   assert!(reply.is(&answer(prompt, 5)), "{reply:?}");
 }
 
@@ -32,7 +32,7 @@
   for at in 0..9 {
     served(&fleet, at, "warm", &format!("down {at}"));
   }
-  let refused = Ask::of("cold", "no load", 5)
+  let refused = Request::of("cold", "no load", 5)
     .within(Duration::from_millis(1_500))
     .send(fleet.callers(0));
   assert_eq!(
@@ -49,7 +49,7 @@
   let threads: Vec<_> = (0..6)
     .map(|at| {
       let address = fleet.callers(at).to_string();
-      thread::spawn(move || Ask::of("cold", &format!("waits {at}"), 5).send(&address))
+      thread::spawn(move || Request::of("cold", &format!("waits {at}"), 5).send(&address))
     })
     .collect();
   wait_for("the requests to wait", || fleet.waiting() == 6);
@@ -88,7 +88,7 @@
     .map(|at| {
       let address = fleet.callers(at).to_string();
       let model = if at % 2 == 0 { "warm" } else { "cold" };
-      thread::spawn(move || Ask::of(model, &format!("{at}"), 5).send(&address))
+      thread::spawn(move || Request::of(model, &format!("{at}"), 5).send(&address))
     })
     .collect();
   wait_for("the requests to wait", || fleet.waiting() == 12);
--- a/tests/placement.rs
+++ b/tests/placement.rs
@@ -2,7 +2,7 @@
 
 use serde_json::json;
 use stand_ins::{
-  caller::Ask,
+  caller::Request,
   engine::answer,
   fleet::{Fleet, Plan, wait_for},
   proxy::Fault,
@@ -26,7 +26,7 @@
     let model = model.to_string();
     thread::spawn(move || {
       let prompt = format!("{model} {at}");
-      let reply = Ask::of(&model, &prompt, 5).send(&address);
+      let reply = Request::of(&model, &prompt, 5).send(&address);
       reply.is(&answer(&prompt, 5))
     })
   };
@@ -123,10 +123,10 @@
     proxy.fault(Fault::None);
   }
   let other = (frozen + 1) % 3;
-  let reply = Ask::of("contracts", "while frozen", 5).send(fleet.callers(other));
+  let reply = Request::of("contracts", "while frozen", 5).send(fleet.callers(other));
   assert!(reply.is(&answer("while frozen", 5)), "{reply:?}");
   wait_for("the model to be withdrawn", || {
-    stand_ins::engine::wanted(&fleet.platform, "contracts") == 0
+    stand_ins::engine::target_loaded(&fleet.platform, "contracts") == 0
   });
   fleet.members[frozen].signal("-CONT");
   assert_eq!(whole(requests), 6);
