--- a/stand-ins/src/engine/census.rs
+++ b/stand-ins/src/engine/census.rs
@@ -1,12 +1,12 @@
-//! Replicas on engines against the records of the platform.
+//! Compares the replicas on engines with the records of the platform.
 
 use super::Engine;
 use crate::platform::Platform;
 use bendsaddle::replica::Target;
 use std::collections::BTreeMap;
 
-/// Whether every replica on the engines is decided by its record, and no model
-/// has more than its record holds.
+/// One message for each model that has more replicas on the engines than its
+/// platform record lists.
 pub fn census(platform: &Platform, engines: &[Engine]) -> Vec<String> {
   let mut faults = Vec::new();
   let mut loaded: BTreeMap<String, usize> = BTreeMap::new();
@@ -24,7 +24,7 @@
   faults
 }
 
-/// Replicas of a model that its record wants loaded.
+/// Number of replicas of a model whose target in the platform record is `Loaded`.
 pub fn target_loaded(platform: &Platform, model: &str) -> usize {
   let record = platform.record(model);
   let replicas = record.replicas.iter();
--- a/stand-ins/src/engine/mod.rs
+++ b/stand-ins/src/engine/mod.rs
@@ -1,5 +1,5 @@
-//! A model engine: loads that take time, streamed tokens, and records of what
-//! ran and of every limit that was passed.
+//! Simulated model engine: loads with a configurable duration, streamed tokens, and
+//! records of all runs and of every exceeded limit.
 
 mod census;
 mod completion;
@@ -16,7 +16,7 @@
 use completion::complete;
 use orders::{load, unload};
 use serde_json::json;
-use state::{Held, Inner, lock};
+use state::{Shared, State, lock};
 use std::{
   collections::HashMap,
   io,
@@ -27,26 +27,26 @@
 use tiny_http::{Method, Request};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// How an engine is built.
+/// Configuration of an engine.
 #[derive(Clone)]
 pub struct Options {
   pub name: String,
   pub memory_mb: u64,
   pub slots: u32,
-  /// Requests waiting for a slot before the engine declines.
+  /// Requests of a replica that may wait for a slot; further requests are declined.
   pub queue: u32,
   pub fencing: bool,
-  /// Load time for each MB by tier: memory, disk, remote.
+  /// Load time per MB by tier: memory, disk, remote.
   pub load: [Duration; 3],
   pub token: Duration,
   pub cached: HashMap<String, Tier>,
   pub store: Option<Store>,
-  /// Where decisions are looked up to count violations.
+  /// Platform whose records are checked for violations, `None` to skip the check.
   pub platform: Option<Platform>,
 }
 
 impl Options {
-  /// A small, quick engine.
+  /// Options for a small, fast engine.
   pub fn named(name: &str) -> Self {
     Self {
       name: name.into(),
@@ -67,18 +67,19 @@
   }
 }
 
-/// Faults of the token stream.
+/// Injected faults of loads and of the token stream.
 #[derive(Clone, Debug, Default)]
 pub struct Faults {
-  /// Break the next streams after this many tokens, as often as listed.
+  /// Number of sent chunks after which a stream breaks; each stream takes one entry
+  /// from the end.
   pub break_after: Vec<usize>,
-  /// Send tokens doubled and in pairs out of order, with strays of others.
+  /// Sends each token twice, pairs in reverse order, and chunks of another attempt.
   pub disorder: bool,
-  /// Loads take this much longer.
+  /// Delay added to each load.
   pub slow_load: Duration,
 }
 
-/// One attempt that began to run.
+/// An attempt that was given a slot.
 #[derive(Clone, Debug)]
 pub struct Run {
   pub request: String,
@@ -91,32 +92,34 @@
 /// A running engine.
 #[derive(Clone)]
 pub struct Engine {
-  inner: Arc<Held>,
+  shared: Arc<Shared>,
   options: Arc<Options>,
   pub address: SocketAddr,
 }
 
-/// The token at a position of the answer to a prompt.
+/// The token at an index of the completion of a prompt.
 pub fn token(prompt: &str, index: usize) -> String {
   let hash = xxh3_64(format!("{prompt}/{index}").as_bytes());
   format!("{index}:{:04x} ", hash & 0xffff)
 }
 
-/// The whole answer to a prompt.
+/// The full completion of a prompt.
 pub fn answer(prompt: &str, tokens: usize) -> String {
   (0..tokens).map(|index| token(prompt, index)).collect()
 }
 
 impl Engine {
-  /// Binds an engine.
+  /// Starts an engine that listens on `address`.
   pub fn bind(address: &str, options: Options) -> io::Result<Self> {
-    let inner = Inner::open(options.cached.clone());
-    let inner = Arc::new((Mutex::new(inner), Condvar::new()));
+    let state = State::open(options.cached.clone());
+    let shared = Arc::new((Mutex::new(state), Condvar::new()));
     let options = Arc::new(options);
-    let (served, with) = (inner.clone(), options.clone());
-    let address = http::bind(address, move |request| serve(&served, &with, request))?;
+    let (served, with_options) = (shared.clone(), options.clone());
+    let address = http::bind(address, move |request| {
+      serve(&served, &with_options, request)
+    })?;
     Ok(Self {
-      inner,
+      shared,
       options,
       address,
     })
@@ -127,87 +130,87 @@
     &self.options.name
   }
 
-  /// How it was built.
+  /// The engine's configuration.
   pub fn options(&self) -> &Options {
     &self.options
   }
 
-  /// Changes the faults in force.
+  /// Changes the injected faults.
   pub fn fault(&self, change: impl FnOnce(&mut Faults)) {
-    change(&mut lock(&self.inner).faults);
+    change(&mut lock(&self.shared).faults);
   }
 
-  /// Restarts with empty memory; streams break.
+  /// Restarts with empty memory, which breaks open streams.
   pub fn restart(&self) {
-    let mut inner = lock(&self.inner);
-    inner.restart();
-    self.inner.1.notify_all();
+    let mut state = lock(&self.shared);
+    state.restart();
+    self.shared.1.notify_all();
   }
 
-  /// Says of itself that it leaves.
+  /// Reports the engine as leaving and declines further requests.
   pub fn leave(&self) {
-    lock(&self.inner).leaving = true;
+    lock(&self.shared).leaving = true;
   }
 
-  /// Limits passed so far.
+  /// Violations recorded so far.
   pub fn violations(&self) -> Vec<String> {
-    lock(&self.inner).violations.clone()
+    lock(&self.shared).violations.clone()
   }
 
-  /// Attempts that began to run.
+  /// Attempts that were given a slot.
   pub fn runs(&self) -> Vec<Run> {
-    lock(&self.inner).runs.clone()
+    lock(&self.shared).runs.clone()
   }
 
-  /// Loads begun.
+  /// Number of started loads.
   pub fn loads(&self) -> u64 {
-    lock(&self.inner).loads
+    lock(&self.shared).loads
   }
 
-  /// Orders taken, with their replicas.
+  /// Accepted orders with their replicas.
   pub fn orders(&self) -> Vec<(u64, &'static str)> {
-    lock(&self.inner).orders.clone()
+    lock(&self.shared).orders.clone()
   }
 
-  /// Models on the engine and how far they are.
+  /// Models on the engine and their stages.
   pub fn residents(&self) -> Vec<(String, Stage)> {
-    let inner = lock(&self.inner);
-    let replicas = inner.replicas.values();
+    let state = lock(&self.shared);
+    let replicas = state.replicas.values();
     replicas
       .map(|loaded| (loaded.model.clone(), loaded.stage))
       .collect()
   }
 
-  /// Requests running or waiting.
+  /// Number of running requests.
   pub fn busy(&self) -> u32 {
-    let inner = lock(&self.inner);
-    inner.replicas.values().map(|loaded| loaded.running).sum()
+    let state = lock(&self.shared);
+    state.replicas.values().map(|loaded| loaded.running).sum()
   }
 
-  /// Time for which loaded replicas stood idle.
+  /// Total idle time of loaded replicas.
   pub fn idle(&self) -> Duration {
-    let mut inner = lock(&self.inner);
-    inner.count_idle();
-    inner.idle
+    let mut state = lock(&self.shared);
+    state.count_idle();
+    state.idle
   }
 
-  /// Most requests that waited for a slot at once.
+  /// Largest number of requests that waited for a slot at the same time.
   pub fn peak_waiting(&self) -> u32 {
-    lock(&self.inner).crowd
+    lock(&self.shared).peak_waiting
   }
 }
 
-fn serve(inner: &Arc<Held>, options: &Arc<Options>, mut request: Request) {
+fn serve(shared: &Arc<Shared>, options: &Arc<Options>, mut request: Request) {
   let path = request.url().to_string();
   match (request.method().clone(), path.as_str()) {
     (Method::Get, "/status") => {
-      let report = lock(inner).report();
+      let report = lock(shared).report();
       http::json(request, 200, &json!(report));
     }
     (Method::Post, "/control/load") => {
       let body = http::body(&mut request);
       let status = match serde_json::from_slice::<OrderBody>(&body) {
-        Ok(order) => load(inner, options, order),
+        Ok(order) => load(shared, options, order),
         Err(_) => 400,
       };
       http::json(request, status, &json!({}));
@@ -215,7 +218,7 @@
     (Method::Post, "/control/unload") => {
       let body = http::body(&mut request);
       let status = match serde_json::from_slice::<OrderBody>(&body) {
-        Ok(order) => unload(inner, options, &order),
+        Ok(order) => unload(shared, options, &order),
         Err(_) => 400,
       };
       http::json(request, status, &json!({}));
@@ -224,13 +227,13 @@
       let body = http::body(&mut request);
       let body: serde_json::Value = serde_json::from_slice(&body).unwrap_or_default();
       let attempt = body["attempt"].as_str().unwrap_or_default().to_string();
-      lock(inner).cancelled.insert(attempt);
+      lock(shared).cancelled.insert(attempt);
       http::json(request, 200, &json!({}));
     }
     (Method::Post, "/v1/completions") => {
       let body = http::body(&mut request);
       match serde_json::from_slice::<Completion>(&body) {
-        Ok(completion) => complete(inner, options, request, &completion),
+        Ok(completion) => complete(shared, options, request, &completion),
         Err(error) => http::json(request, 400, &json!({ "error": error.to_string() })),
       }
     }
--- a/stand-ins/src/engine/orders.rs
+++ b/stand-ins/src/engine/orders.rs
@@ -1,8 +1,8 @@
-//! Loads and unloads that instances order.
+//! Load and unload orders from instances.
 
 use super::{
   Options,
-  state::{Held, Inner, Loaded, lock},
+  state::{Loaded, Shared, State, lock},
 };
 use bendsaddle::{
   engine::OrderBody,
@@ -14,31 +14,31 @@
   time::{Duration, Instant},
 };
 
-fn stale(inner: &mut Inner, options: &Options, fence: u64) -> bool {
-  if options.fencing && fence < inner.fence {
+fn stale(state: &mut State, options: &Options, fence: u64) -> bool {
+  if options.fencing && fence < state.fence {
     return true;
   }
-  inner.fence = inner.fence.max(fence);
+  state.fence = state.fence.max(fence);
   false
 }
 
-pub(super) fn load(inner: &Arc<Held>, options: &Arc<Options>, order: OrderBody) -> u16 {
-  let mut held = lock(inner);
-  if stale(&mut held, options, order.fence) {
+pub(super) fn load(shared: &Arc<Shared>, options: &Arc<Options>, order: OrderBody) -> u16 {
+  let mut state = lock(shared);
+  if stale(&mut state, options, order.fence) {
     return 409;
   }
-  if held.replicas.contains_key(&order.replica) {
+  if state.replicas.contains_key(&order.replica) {
     return 202;
   }
   let ready =
     |loaded: &Loaded, base: &String| loaded.model == *base && loaded.stage == Stage::Ready;
   if let Some(base) = &order.base
-    && !held.replicas.values().any(|loaded| ready(loaded, base))
+    && !state.replicas.values().any(|loaded| ready(loaded, base))
   {
     return 422;
   }
-  held.orders.push((order.replica, "load"));
-  held.loads += 1;
+  state.orders.push((order.replica, "load"));
+  state.loads += 1;
   let loaded = Loaded {
     model: order.model.clone(),
     memory_mb: order.memory_mb,
@@ -49,21 +49,22 @@
     idle_since: Instant::now(),
     loaded_at: None,
   };
-  held.replicas.insert(order.replica, loaded);
-  check(&mut held, options, &order);
-  let boot = held.boot;
-  drop(held);
-  let (inner, options) = (inner.clone(), options.clone());
-  thread::spawn(move || fetch(&inner, &options, &order, boot));
+  state.replicas.insert(order.replica, loaded);
+  record_violations(&mut state, options, &order);
+  let boot = state.boot;
+  drop(state);
+  let (shared, options) = (shared.clone(), options.clone());
+  thread::spawn(move || run_load(&shared, &options, &order, boot));
   202
 }
 
-/// Counts what the load breaks: memory, or a replica that was not decided.
-fn check(inner: &mut Inner, options: &Options, order: &OrderBody) {
-  let used = inner.used_mb();
+/// Records a violation if the load exceeds the memory or the replica is not in the
+/// platform record.
+fn record_violations(state: &mut State, options: &Options, order: &OrderBody) {
+  let used = state.used_mb();
   if used > options.memory_mb {
     let text = format!("{}: {used} of {} MB", options.name, options.memory_mb);
-    inner.violations.push(text);
+    state.violations.push(text);
   }
   let Some(platform) = &options.platform else {
     return;
@@ -78,15 +79,15 @@
       "{}: replica {:x} of {} not decided",
       options.name, order.replica, order.model
     );
-    inner.violations.push(text);
+    state.violations.push(text);
   }
 }
 
-fn fetch(inner: &Held, options: &Options, order: &OrderBody, boot: u64) {
+fn run_load(shared: &Shared, options: &Options, order: &OrderBody, boot: u64) {
   let (tier, extra) = {
-    let held = lock(inner);
-    let tier = held.cached.get(&order.model).copied();
-    (tier.unwrap_or(Tier::Remote), held.faults.slow_load)
+    let state = lock(shared);
+    let tier = state.cached.get(&order.model).copied();
+    (tier.unwrap_or(Tier::Remote), state.faults.slow_load)
   };
   thread::sleep(extra);
   let time = options.load[tier as usize] * order.memory_mb as u32;
@@ -94,55 +95,55 @@
     Some(store) if tier == Tier::Remote => store.load(time),
     _ => thread::sleep(time),
   }
-  let mut held = lock(inner);
-  if held.boot != boot {
+  let mut state = lock(shared);
+  if state.boot != boot {
     return;
   }
-  held
+  state
     .cached
     .insert(order.model.clone(), Tier::Memory.max(tier.min(Tier::Disk)));
-  if let Some(loaded) = held.replicas.get_mut(&order.replica)
+  if let Some(loaded) = state.replicas.get_mut(&order.replica)
     && loaded.stage == Stage::Loading
   {
     loaded.stage = Stage::Ready;
     loaded.idle_since = Instant::now();
     loaded.loaded_at = Some(Instant::now());
   }
-  inner.1.notify_all();
+  shared.1.notify_all();
 }
 
-pub(super) fn unload(inner: &Arc<Held>, options: &Options, order: &OrderBody) -> u16 {
-  let mut held = lock(inner);
-  if stale(&mut held, options, order.fence) {
+pub(super) fn unload(shared: &Arc<Shared>, options: &Options, order: &OrderBody) -> u16 {
+  let mut state = lock(shared);
+  if stale(&mut state, options, order.fence) {
     return 409;
   }
-  held.count_idle();
-  let Some(loaded) = held.replicas.get_mut(&order.replica) else {
+  state.count_idle();
+  let Some(loaded) = state.replicas.get_mut(&order.replica) else {
     return 200;
   };
-  let first = loaded.stage != Stage::Unloading;
+  let newly_unloading = loaded.stage != Stage::Unloading;
   loaded.stage = Stage::Unloading;
   loaded.loaded_at = None;
-  if !first {
+  if !newly_unloading {
     return 202;
   }
-  held.orders.push((order.replica, "unload"));
-  let boot = held.boot;
-  drop(held);
-  let (inner, replica) = (inner.clone(), order.replica);
+  state.orders.push((order.replica, "unload"));
+  let boot = state.boot;
+  drop(state);
+  let (shared, replica) = (shared.clone(), order.replica);
   thread::spawn(move || {
-    let mut held = lock(&inner);
-    while held.boot == boot
-      && held
+    let mut state = lock(&shared);
+    while state.boot == boot
+      && state
         .replicas
         .get(&replica)
         .is_some_and(|loaded| loaded.running + loaded.waiting > 0)
     {
-      let waited = inner.1.wait_timeout(held, Duration::from_millis(50));
-      held = waited.unwrap_or_else(PoisonError::into_inner).0;
+      let waited = shared.1.wait_timeout(state, Duration::from_millis(50));
+      state = waited.unwrap_or_else(PoisonError::into_inner).0;
     }
-    if held.boot == boot {
-      held.replicas.remove(&replica);
+    if state.boot == boot {
+      state.replicas.remove(&replica);
     }
   });
   202
--- a/stand-ins/src/engine/state.rs
+++ b/stand-ins/src/engine/state.rs
@@ -1,4 +1,4 @@
-//! What an engine has in memory, and its records of what ran.
+//! State of an engine: replicas in memory and records of its runs.
 
 use super::{Faults, Run};
 use bendsaddle::{
@@ -11,7 +11,7 @@
   time::{Duration, Instant, SystemTime, UNIX_EPOCH},
 };
 
-/// A replica and who uses it.
+/// A replica in memory and its request counts.
 #[derive(Debug)]
 pub(super) struct Loaded {
   pub model: String,
@@ -19,14 +19,14 @@
   pub stage: Stage,
   pub running: u32,
   pub waiting: u32,
-  /// Of those waiting, the urgent ones.
+  /// Number of waiting requests that are urgent.
   pub urgent: u32,
   pub idle_since: Instant,
   pub loaded_at: Option<Instant>,
 }
 
-/// What an engine has and has seen.
-pub(super) struct Inner {
+/// Mutable state of an engine.
+pub(super) struct State {
   pub boot: u64,
   pub seq: u64,
   pub fence: u64,
@@ -40,15 +40,15 @@
   pub loads: u64,
   pub orders: Vec<(u64, &'static str)>,
   pub idle: Duration,
-  /// Most requests that waited for a slot at once.
-  pub crowd: u32,
+  /// Largest number of requests that waited for a slot at the same time.
+  pub peak_waiting: u32,
 }
 
-/// The state, with a bell for every change that ends a wait.
-pub(super) type Held = (Mutex<Inner>, Condvar);
+/// The state, with a condition variable that is notified when a waiter may proceed.
+pub(super) type Shared = (Mutex<State>, Condvar);
 
-pub(super) fn lock(inner: &Held) -> MutexGuard<'_, Inner> {
-  inner.0.lock().unwrap_or_else(PoisonError::into_inner)
+pub(super) fn lock(shared: &Shared) -> MutexGuard<'_, State> {
+  shared.0.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 fn clock() -> u64 {
@@ -56,7 +56,7 @@
   now.unwrap_or_default().as_millis() as u64
 }
 
-impl Inner {
+impl State {
   pub(super) fn open(cached: HashMap<String, Tier>) -> Self {
     Self {
       boot: clock(),
@@ -72,11 +72,11 @@
       loads: 0,
       orders: Vec::new(),
       idle: Duration::ZERO,
-      crowd: 0,
+      peak_waiting: 0,
     }
   }
 
-  /// Empties the memory under a new boot.
+  /// Clears the memory and sets a new boot number.
   pub(super) fn restart(&mut self) {
     self.count_idle();
     self.boot = clock().max(self.boot + 1);
@@ -116,7 +116,7 @@
     }
   }
 
-  /// Adds up the idle time of loaded replicas so far.
+  /// Adds the idle time of loaded replicas since the last call to the total.
   pub(super) fn count_idle(&mut self) {
     let now = Instant::now();
     for loaded in self.replicas.values_mut() {
