--- a/stand-ins/src/bench.rs
+++ b/stand-ins/src/bench.rs
@@ -1,5 +1,5 @@
-//! Benchmarks of the path: added latency, memory at many open streams, and the
-//! two ways of sharing a replica's slots, each against the other in one run.
+//! Benchmarks of the request path: added latency, memory with many open streams,
+//! and the two dispatch modes for a replica's slots, compared in one run.
 
 use crate::{
   caller::{Answer, Request},
@@ -16,11 +16,11 @@
   time::{Duration, Instant},
 };
 
-/// Requests of each kind for the added latency.
+/// Requests sent through an instance, and as many sent directly, to measure added latency.
 const REQUESTS: usize = 300;
-/// Streams open at once.
+/// Concurrently open streams.
 const STREAMS: usize = 500;
-/// Requests of a burst at one replica, over this many instances.
+/// Requests in a burst for one replica, spread over `INSTANCES` instances.
 const BURST: usize = 210;
 const INSTANCES: usize = 7;
 const ROUNDS: usize = 3;
@@ -42,7 +42,7 @@
     .unwrap_or_default()
 }
 
-/// Time to first token of a call made straight to the engine.
+/// Time to first token of a request sent directly to the engine, `Duration::MAX` if it fails.
 fn direct(fleet: &Fleet, replica: u64, prompt: &str) -> Duration {
   let start = Instant::now();
   let body = json!(Completion {
@@ -75,7 +75,7 @@
   first.unwrap_or(Duration::MAX)
 }
 
-/// Time to first token through an instance, against a direct call.
+/// Time to first token in ms, through an instance and directly, and the difference.
 fn latency(program: &Path) -> io::Result<Value> {
   let fleet = plan(program)
     .instances(1)
@@ -83,7 +83,7 @@
     .start()?;
   Request::of("model", "warm", 1).send(fleet.callers(0));
   let replica = replica(&fleet);
-  let (mut through, mut straight) = (Vec::new(), Vec::new());
+  let (mut through_times, mut direct_times) = (Vec::new(), Vec::new());
   for at in 0..REQUESTS {
     let prompt = format!("prompt {at}");
     let reply = Request::of("model", &prompt, TOKENS).send(fleet.callers(0));
@@ -91,18 +91,18 @@
       reply.matches(&answer(&prompt, TOKENS as usize)),
       "{reply:?}"
     );
-    through.push(reply.first.as_secs_f64() * 1_000.0);
-    straight.push(direct(&fleet, replica, &prompt).as_secs_f64() * 1_000.0);
+    through_times.push(reply.first.as_secs_f64() * 1_000.0);
+    direct_times.push(direct(&fleet, replica, &prompt).as_secs_f64() * 1_000.0);
   }
-  let added = |part| quantile(&through, part) - quantile(&straight, part);
+  let added = |part| quantile(&through_times, part) - quantile(&direct_times, part);
   Ok(json!({
-    "directP50Ms": quantile(&straight, 0.5), "directP99Ms": quantile(&straight, 0.99),
-    "throughP50Ms": quantile(&through, 0.5), "throughP99Ms": quantile(&through, 0.99),
+    "directP50Ms": quantile(&direct_times, 0.5), "directP99Ms": quantile(&direct_times, 0.99),
+    "throughP50Ms": quantile(&through_times, 0.5), "throughP99Ms": quantile(&through_times, 0.99),
     "addedP50Ms": added(0.5), "addedP99Ms": added(0.99),
   }))
 }
 
-/// Memory of an instance at rest and with many streams open.
+/// Memory of an idle instance and of one with many open streams, in MB.
 fn streams(program: &Path) -> io::Result<Value> {
   let fleet = plan(program)
     .instances(1)
@@ -112,7 +112,7 @@
     })
     .start()?;
   Request::of("model", "warm", 1).send(fleet.callers(0));
-  let rest = memory_mb(&fleet);
+  let idle = memory_mb(&fleet);
   let threads: Vec<_> = (0..STREAMS)
     .map(|at| {
       let address = fleet.callers(0).to_string();
@@ -120,7 +120,7 @@
       thread::Builder::new().stack_size(128 << 10).spawn(run)
     })
     .collect::<Result<_, _>>()?;
-  let (mut open, mut busy) = (0, rest);
+  let (mut open, mut busy) = (0, idle);
   let until = Instant::now() + Duration::from_secs(5);
   while open < STREAMS as u32 && Instant::now() < until {
     thread::sleep(Duration::from_millis(50));
@@ -131,18 +131,18 @@
     .into_iter()
     .filter_map(|thread| thread.join().ok())
     .collect();
-  let whole = replies.iter().filter(|reply| reply.is_complete).count();
+  let complete = replies.iter().filter(|reply| reply.is_complete).count();
   Ok(json!({
-    "openStreams": open, "answeredWhole": whole, "restMb": rest, "busyMb": busy,
-    "kbEachStream": (busy - rest) * 1_000.0 / f64::from(open.max(1)),
+    "openStreams": open, "answeredWhole": complete, "restMb": idle, "busyMb": busy,
+    "kbEachStream": (busy - idle) * 1_000.0 / f64::from(open.max(1)),
   }))
 }
 
-/// A burst at all instances for one replica with few slots.
-fn dispatch(program: &Path, way: &str) -> io::Result<Value> {
+/// Sends bursts to all instances for one replica with few slots, using dispatch mode `mode`.
+fn dispatch(program: &Path, mode: &str) -> io::Result<Value> {
   let fleet = plan(program)
     .instances(INSTANCES)
-    .limits(json!({ "dispatch": way }))
+    .limits(json!({ "dispatch": mode }))
     .engines(1, |options| {
       options.slots = 8;
       options.queue = 8;
@@ -165,7 +165,7 @@
       .collect();
     first.extend(replies.iter().map(|reply| reply.first.as_secs_f64()));
     eprintln!(
-      "{way}: {} whole in {:?}",
+      "{mode}: {} complete in {:?}",
       replies.iter().filter(|r| r.is_complete).count(),
       start.elapsed()
     );
@@ -181,7 +181,7 @@
   }))
 }
 
-/// Retries that an instance counted.
+/// Total retries from the `/metrics` page of an instance.
 fn retries(operators: &str) -> f64 {
   let text = crate::caller::get(operators, "/metrics").raw;
   let lines = text
--- a/stand-ins/src/budget.rs
+++ b/stand-ins/src/budget.rs
@@ -1,32 +1,32 @@
-//! The arithmetic of docs/CAPACITY.md: each role at the two-year size, from the
-//! slopes in docs/capacity.json.
+//! Capacity calculation for docs/CAPACITY.md: the cost of each role at the size
+//! expected in two years, from the slopes in docs/capacity.json.
 
 use crate::capacity::fit;
 use serde_json::Value;
 
-/// The two-year size, for one of three regions.
+/// Size expected in two years, for one of three regions. Rates are per second.
 pub mod size {
   pub const REGIONS: f64 = 3.0;
   pub const NODES: f64 = 420.0 / REGIONS;
   pub const SERVERS: f64 = 670.0 / REGIONS;
   pub const REPLICAS: f64 = 5_300.0 / REGIONS;
-  /// Every region holds the whole catalogue.
+  /// Every region has the full catalogue.
   pub const MODELS: f64 = 19_930.0;
   pub const REQUESTS: f64 = 8_900.0 / REGIONS;
-  /// Models and adapters that wake and fall idle again, a second.
+  /// Models and adapters per second that are loaded on demand and become idle again.
   pub const WAKES: f64 = MODELS * 0.48 / 2.0 / 3_600.0 / REGIONS;
-  /// How much busier than the average hour a peak is taken to be.
+  /// Assumed ratio of peak load to the load of an average hour.
   pub const PEAK: f64 = 2.0;
-  /// Changes of configuration a second: ten in a minute, seven times the average.
+  /// Configuration changes per second: ten per minute, seven times the average.
   pub const CHANGES: f64 = 10.0 / 60.0;
-  /// Share of requests that may not be repeated.
+  /// Fraction of requests that must not be retried.
   pub const ONCE: f64 = 0.02;
   pub const ZONES: f64 = 3.0;
 }
 
-/// What control may cost a node, and all nodes the platform.
+/// Limits on the cost of the control plane: per node, and for all nodes on the platform.
 pub mod limit {
-  /// Milliseconds of processor time a second.
+  /// Milliseconds of CPU time per second.
   pub const CPU_MS: f64 = 43.0;
   pub const MEMORY_MB: f64 = 32.0;
   pub const BYTES: f64 = 7_000.0;
@@ -35,7 +35,8 @@
   pub const IN_FORCE_MS: f64 = 5_000.0;
 }
 
-/// What a role costs a node a second, and all nodes the platform.
+/// Cost of a role per second: CPU, memory and bytes of one node, reads and writes of
+/// the platform by all nodes.
 #[derive(Clone, Debug, Default)]
 pub struct Role {
   pub name: &'static str,
@@ -52,18 +53,18 @@
   rows.iter().filter_map(point).collect()
 }
 
-/// Cost of one more unit of a part.
+/// Cost of one additional unit of a part, at least 0.
 pub fn slope(measured: &Value, part: &str, field: &str) -> f64 {
   fit(&points(measured, part, field)).0.max(0.0)
 }
 
-/// The value at the largest size measured of a part.
+/// The value at the last measured size of a part, NaN if there is none.
 fn last(measured: &Value, part: &str, field: &str) -> f64 {
   let points = points(measured, part, field);
   points.last().map(|(_, value)| *value).unwrap_or(f64::NAN)
 }
 
-/// A role whose cost is in proportion to `units`.
+/// A role whose cost is proportional to `units`.
 fn role(measured: &Value, name: &'static str, part: &str, units: f64) -> Role {
   Role {
     name,
@@ -82,7 +83,7 @@
     cpu_ms: last(measured, "instances", "cpuMs"),
     memory_mb: fit(&points(measured, "models", "memoryMb")).1,
     bytes: last(measured, "instances", "bytes"),
-    // Two readers in each zone: a list a second, a watch each 5 s, names each 10 s.
+    // Two readers per zone: one list per second, a watch every 5 s, names every 10 s.
     reads: 2.0 * size::ZONES * (1.0 + 0.2 + 0.1),
     writes: 0.0,
   };
@@ -127,14 +128,15 @@
   ]
 }
 
-/// Writes a second for claims: each call takes and finishes one; a group holds as
-/// many as arrive during a write, so writes stop growing with load.
+/// Platform writes per second for claims. Each call acquires and completes one claim.
+/// A batch has all claims that arrive during a write, so the write rate levels off
+/// under load.
 fn claim_writes(measured: &Value) -> f64 {
   let calls = size::REQUESTS * size::ONCE;
   let rows = points(measured, "claims", "claimsPerWrite");
   let below = rows.iter().rev().find(|(rate, _)| *rate <= calls);
-  let grouped = below.or(rows.first()).map(|(_, grouped)| *grouped);
-  2.0 * calls / grouped.unwrap_or(1.0).max(1.0)
+  let per_write = below.or(rows.first()).map(|(_, per_write)| *per_write);
+  2.0 * calls / per_write.unwrap_or(1.0).max(1.0)
 }
 
 /// The sum of all roles.
@@ -153,7 +155,7 @@
   total
 }
 
-/// Longest measured time until a change was in force everywhere, ms.
+/// Longest measured time until a change was in force at every instance, in ms.
 pub fn in_force_ms(measured: &Value) -> f64 {
   let rows = measured["changes"].as_array().cloned().unwrap_or_default();
   let times = rows.iter().filter_map(|row| row["inForceMs"].as_array());
@@ -163,7 +165,7 @@
     .fold(0.0, f64::max)
 }
 
-/// Limits that the total breaks, with the figures.
+/// Limits that the total exceeds, with both values.
 pub fn exceeded(measured: &Value) -> Vec<String> {
   let total = total(&roles(measured));
   let checks = [
@@ -178,15 +180,15 @@
       limit::IN_FORCE_MS,
     ),
   ];
-  let over = checks
+  let exceeded = checks
     .into_iter()
-    .filter(|(_, value, most)| value > most || value.is_nan());
-  over
-    .map(|(name, value, most)| format!("{name}: {value:.1} is above {most:.1}"))
+    .filter(|(_, value, bound)| value > bound || value.is_nan());
+  exceeded
+    .map(|(name, value, bound)| format!("{name}: {value:.1} is above {bound:.1}"))
     .collect()
 }
 
-/// The roles as a table.
+/// Markdown table of the roles, their total and the limits.
 pub fn table(measured: &Value) -> String {
   let roles = roles(measured);
   let mut text = String::from(
--- a/stand-ins/src/caller.rs
+++ b/stand-ins/src/caller.rs
@@ -1,4 +1,4 @@
-//! A caller: sends requests and keeps what came back.
+//! HTTP client that sends requests to an instance and records the responses.
 
 use serde_json::{Value, json};
 use std::{
@@ -7,52 +7,52 @@
 };
 use ureq::Agent;
 
-/// What a caller got.
+/// A response as received by the client.
 #[derive(Clone, Debug, Default)]
 pub struct Answer {
-  /// HTTP status; 0 when the connection failed.
+  /// HTTP status, 0 if the connection failed.
   pub status: u16,
   pub text: String,
-  /// The stream ended with its end mark, or the body was whole.
+  /// The stream ended with `[DONE]`, or the body was read completely.
   pub is_complete: bool,
-  /// Reason and verdict of a refusal.
+  /// Reason and verdict from the error object, empty if there is none.
   pub reason: String,
   pub verdict: String,
   pub retry_after_ms: Option<u64>,
   pub first: Duration,
   pub total: Duration,
-  /// The answer's body, where it is JSON.
+  /// The response body, null if it is not JSON.
   pub body: Value,
-  /// The answer's body as text.
+  /// The response body as text.
   pub raw: String,
 }
 
 impl Answer {
-  /// Whether the answer is exactly this text, whole.
+  /// Whether the response is complete and its text is exactly `text`.
   pub fn matches(&self, text: &str) -> bool {
     self.status == 200 && self.is_complete && self.text == text
   }
 
-  fn refused(&mut self, error: &Value) {
-    let word = |field: &str| error[field].as_str().unwrap_or_default().to_string();
-    self.reason = word("reason");
-    self.verdict = word("verdict");
+  fn set_error(&mut self, error: &Value) {
+    let text = |field: &str| error[field].as_str().unwrap_or_default().to_string();
+    self.reason = text("reason");
+    self.verdict = text("verdict");
     self.retry_after_ms = error["retry_after_ms"].as_u64();
   }
 }
 
-fn agent(wait: Duration) -> Agent {
+fn agent(timeout: Duration) -> Agent {
   Agent::config_builder()
     .http_status_as_error(false)
     .max_redirects(0)
     .proxy(None)
     .max_idle_connections(0)
-    .timeout_global(Some(wait))
+    .timeout_global(Some(timeout))
     .build()
     .new_agent()
 }
 
-/// A completion to ask for.
+/// A completion request.
 #[derive(Clone, Debug)]
 pub struct Request {
   pub model: String,
@@ -78,12 +78,12 @@
     }
   }
 
-  /// The same with another deadline.
+  /// Replaces the deadline.
   pub fn with_deadline(self, deadline: Duration) -> Self {
     Self { deadline, ..self }
   }
 
-  /// The same by another caller.
+  /// Replaces the caller's name.
   pub fn with_caller(self, caller: &str) -> Self {
     Self {
       caller: caller.into(),
@@ -91,7 +91,7 @@
     }
   }
 
-  /// Sends it to an instance.
+  /// Sends the request to an instance and reads the response to its end.
   pub fn send(&self, address: &str) -> Answer {
     let start = Instant::now();
     let body = json!({ "model": self.model, "prompt": self.prompt, "max_tokens": self.tokens,
@@ -108,7 +108,7 @@
       if answer.status == 200 && self.stream {
         read_stream(response, start, &mut answer);
       } else {
-        read_whole(response, &mut answer);
+        read_body(response, &mut answer);
       }
     }
     answer.total = start.elapsed();
@@ -128,7 +128,7 @@
     }
     let event: Value = serde_json::from_str(data).unwrap_or_default();
     if event["error"].is_object() {
-      answer.refused(&event["error"]);
+      answer.set_error(&event["error"]);
       return;
     }
     if answer.text.is_empty() {
@@ -138,7 +138,7 @@
   }
 }
 
-fn read_whole(mut response: ureq::http::Response<ureq::Body>, answer: &mut Answer) {
+fn read_body(mut response: ureq::http::Response<ureq::Body>, answer: &mut Answer) {
   let Ok(text) = response.body_mut().read_to_string() else {
     return;
   };
@@ -147,7 +147,7 @@
   answer.raw = text;
   let body = answer.body.clone();
   if body["error"].is_object() {
-    answer.refused(&body["error"]);
+    answer.set_error(&body["error"]);
   }
   let choice = &body["choices"][0];
   let text = choice["text"]
@@ -156,7 +156,7 @@
   answer.text = text.unwrap_or_default().to_string();
 }
 
-/// Calls a plain service through an instance.
+/// Calls a plain service through an instance, with an idempotency key if one is given.
 pub fn call(address: &str, path: &str, key: Option<&str>, body: &str) -> Answer {
   let start = Instant::now();
   let mut request = agent(Duration::from_secs(60)).post(format!("http://{address}{path}"));
@@ -166,13 +166,13 @@
   let mut answer = Answer::default();
   if let Ok(response) = request.send(body) {
     answer.status = response.status().as_u16();
-    read_whole(response, &mut answer);
+    read_body(response, &mut answer);
   }
   answer.total = start.elapsed();
   answer
 }
 
-/// Reads a page of an instance.
+/// Sends a GET request to an instance.
 pub fn get(address: &str, path: &str) -> Answer {
   let mut answer = Answer::default();
   let sent = agent(Duration::from_secs(10))
@@ -180,7 +180,7 @@
     .call();
   if let Ok(response) = sent {
     answer.status = response.status().as_u16();
-    read_whole(response, &mut answer);
+    read_body(response, &mut answer);
   }
   answer
 }
--- a/stand-ins/src/capacity.rs
+++ b/stand-ins/src/capacity.rs
@@ -1,5 +1,5 @@
-//! Slopes for docs/CAPACITY.md: what one more instance, model, server, change,
-//! load or claim costs an instance and the platform.
+//! Measurements for docs/CAPACITY.md: the cost of one additional instance, model,
+//! server, change, load or claim for an instance and for the platform.
 
 use crate::{
   caller::{self, Request},
@@ -14,21 +14,21 @@
   time::{Duration, Instant},
 };
 
-/// Time over which a point is measured.
+/// Duration of the measurement of a point.
 const WINDOW: Duration = Duration::from_secs(5);
-/// Time for a fleet to come to rest before a point is measured.
-const REST: Duration = Duration::from_secs(2);
+/// Time for a fleet to become idle before a point is measured.
+const SETTLE_TIME: Duration = Duration::from_secs(2);
 
-/// What an instance and the platform spent over a window, a second.
+/// Cost per second for an instance and for the platform, averaged over a window.
 #[derive(Clone, Debug)]
 pub struct Point {
-  /// Processor time of one instance, ms a second.
+  /// CPU time of one instance, in ms per second.
   pub cpu_ms: f64,
-  /// Resident memory of one instance, MB.
+  /// Resident memory of one instance, in MB.
   pub memory_mb: f64,
-  /// Bytes between instances, sent and received, of one instance.
+  /// Bytes that one instance exchanges with other instances, sent and received.
   pub bytes: f64,
-  /// Reads and writes of the platform by all instances.
+  /// Platform reads and writes by all instances.
   pub reads: f64,
   pub writes: f64,
 }
@@ -40,12 +40,12 @@
   bytes: f64,
 }
 
-/// Clock ticks of `/proc/PID/stat` in a second.
-const TICKS: f64 = 100.0;
-/// Bytes of a page of `/proc/PID/statm`.
-const PAGE: f64 = 4096.0;
+/// Clock ticks per second in `/proc/PID/stat`.
+const TICKS_PER_SECOND: f64 = 100.0;
+/// Bytes per page in `/proc/PID/statm`.
+const PAGE_BYTES: f64 = 4096.0;
 
-/// Resident memory of an instance, MB, on average.
+/// Average resident memory of an instance, in MB.
 pub fn memory_mb(fleet: &Fleet) -> f64 {
   read(fleet).memory_mb / fleet.members.len() as f64
 }
@@ -67,19 +67,19 @@
       .map(|field| field.parse().unwrap_or_default())
       .collect();
     let ticks = fields.get(11).unwrap_or(&0.0) + fields.get(12).unwrap_or(&0.0);
-    sum.cpu_ms += ticks / TICKS * 1_000.0;
+    sum.cpu_ms += ticks / TICKS_PER_SECOND * 1_000.0;
     let statm = std::fs::read_to_string(format!("/proc/{pid}/statm")).unwrap_or_default();
     let pages = statm
       .split_whitespace()
       .nth(1)
       .and_then(|pages| pages.parse::<f64>().ok());
-    sum.memory_mb += pages.unwrap_or_default() * PAGE / 1e6;
+    sum.memory_mb += pages.unwrap_or_default() * PAGE_BYTES / 1e6;
     sum.bytes += member.status()["peer_bytes"].as_f64().unwrap_or_default();
   }
   sum
 }
 
-/// Measures a window in which `work` runs.
+/// Runs `work` and measures the cost over at least one window.
 fn measure(fleet: &Fleet, work: impl FnOnce()) -> Point {
   let count = fleet.members.len() as f64;
   let (before, calls, start) = (read(fleet), fleet.platform.calls(), Instant::now());
@@ -98,20 +98,24 @@
   }
 }
 
-/// The slope of the line through points by least squares, and its value at 0.
+/// Least-squares line through the points: its slope and its value at 0.
 pub fn fit(points: &[(f64, f64)]) -> (f64, f64) {
   let count = points.len() as f64;
   let mean_x = points.iter().map(|(x, _)| x).sum::<f64>() / count;
   let mean_y = points.iter().map(|(_, y)| y).sum::<f64>() / count;
-  let over = points
+  let numerator = points
     .iter()
     .map(|(x, y)| (x - mean_x) * (y - mean_y))
     .sum::<f64>();
-  let under = points
+  let denominator = points
     .iter()
     .map(|(x, _)| (x - mean_x).powi(2))
     .sum::<f64>();
-  let slope = if under > 0.0 { over / under } else { 0.0 };
+  let slope = if denominator > 0.0 {
+    numerator / denominator
+  } else {
+    0.0
+  };
   (slope, mean_y - slope * mean_x)
 }
 
@@ -139,36 +143,36 @@
     "reads": point.reads, "writes": point.writes })
 }
 
-/// Instances at rest.
+/// Cost of idle instances by fleet size.
 fn instances(program: &Path) -> io::Result<Value> {
   let mut points = Vec::new();
   for count in [3, 7, 14, 28, 42] {
     let fleet = plan(program, count, 4, 100).start()?;
-    thread::sleep(REST);
+    thread::sleep(SETTLE_TIME);
     points.push(point("instances", count as f64, &measure(&fleet, || {})));
   }
   Ok(json!(points))
 }
 
-/// Models and adapters configured.
+/// Cost by number of configured models.
 fn models(program: &Path) -> io::Result<Value> {
   let mut points = Vec::new();
   for count in [100, 5_000, 10_000, 20_000] {
     let fleet = plan(program, 3, 2, count).start()?;
-    // Everything is told once; rest comes after.
-    thread::sleep(REST + Duration::from_millis(count as u64));
+    // Wait until the initial synchronization of the configuration has ended.
+    thread::sleep(SETTLE_TIME + Duration::from_millis(count as u64));
     points.push(point("models", count as f64, &measure(&fleet, || {})));
   }
   Ok(json!(points))
 }
 
-/// Backend servers looked after, at rest.
+/// Cost by number of idle backend servers that an instance monitors.
 fn servers(program: &Path) -> io::Result<Value> {
   let mut points = Vec::new();
   for count in [2, 8, 24, 48] {
     let fleet = plan(program, 2, count, 100).start()?;
-    thread::sleep(REST);
-    // Each instance looks after half of them.
+    thread::sleep(SETTLE_TIME);
+    // Each of the two instances monitors half of the servers.
     points.push(point(
       "servers",
       count as f64 / 2.0,
@@ -178,13 +182,13 @@
   Ok(json!(points))
 }
 
-/// Changes of configuration a second, with the time until the last instance has
-/// the last of them.
+/// Cost by configuration changes per second, with the time until a change is in
+/// force at every instance.
 fn changes(program: &Path) -> io::Result<Value> {
   let mut points = Vec::new();
   for rate in [0_u64, 5, 20] {
     let fleet = plan(program, 7, 2, 100).start()?;
-    thread::sleep(REST);
+    thread::sleep(SETTLE_TIME);
     let mut spread = Vec::new();
     let measured = measure(&fleet, || {
       for at in 0..rate * WINDOW.as_secs() {
@@ -194,7 +198,7 @@
           .platform
           .put(Kind::Model, &format!("model-{:05}", at % 100), value);
         if at % rate == 0 {
-          spread.push(reach(&fleet, version).as_secs_f64() * 1_000.0);
+          spread.push(time_to_reach(&fleet, version).as_secs_f64() * 1_000.0);
         }
         let pause = Duration::from_millis(1_000 / rate);
         thread::sleep(pause.saturating_sub(start.elapsed()));
@@ -207,8 +211,8 @@
   Ok(json!(points))
 }
 
-/// Time until every instance has an object of at least this version in force.
-fn reach(fleet: &Fleet, version: u64) -> Duration {
+/// Time until an object of at least this version is in force at every instance.
+fn time_to_reach(fleet: &Fleet, version: u64) -> Duration {
   let start = Instant::now();
   for member in &fleet.members {
     loop {
@@ -225,21 +229,21 @@
   start.elapsed()
 }
 
-/// Models that wake and fall idle a second.
+/// Cost by models per second that are loaded on demand and become idle again.
 fn wakes(program: &Path) -> io::Result<Value> {
   let mut points = Vec::new();
   for rate in [0_u64, 4, 12] {
     let mut plan = plan(program, 7, 4, 400);
     plan.policies[0].1 = json!({ "keepAlive": { "fixed": 300 } });
     let fleet = plan.limits(json!({ "drainMs": 100 })).start()?;
-    thread::sleep(REST);
+    thread::sleep(SETTLE_TIME);
     let measured = measure(&fleet, || {
       for at in 0..rate * WINDOW.as_secs() {
         let address = fleet.callers(at as usize).to_string();
         let model = format!("model-{:05}", at % 400);
-        let ask = move || Request::of(&model, "wake", 1).send(&address);
-        // The answer is not needed: the cost is.
-        drop(thread::spawn(ask));
+        let send = move || Request::of(&model, "wake", 1).send(&address);
+        // Only the cost is measured, so the response is ignored.
+        drop(thread::spawn(send));
         thread::sleep(Duration::from_millis(1_000 / rate));
       }
       thread::sleep(Duration::from_millis(700));
@@ -249,23 +253,23 @@
   Ok(json!(points))
 }
 
-/// Requests a second for a loaded model.
+/// Cost by requests per second for a loaded model.
 fn requests(program: &Path) -> io::Result<Value> {
   let mut points = Vec::new();
   for rate in [0_u64, 60, 180] {
     let fleet = plan(program, 3, 2, 10).start()?;
     let warm = Request::of("model-00001", "warm", 1).send(fleet.callers(0));
     assert_eq!(warm.status, 200, "{warm:?}");
-    thread::sleep(REST);
-    let ask = |address: &str| Request::of("model-00001", "prompt", 1).send(address);
-    let measured = measure(&fleet, || drop(send_at(&fleet, rate, ask)));
+    thread::sleep(SETTLE_TIME);
+    let send = |address: &str| Request::of("model-00001", "prompt", 1).send(address);
+    let measured = measure(&fleet, || drop(send_at(&fleet, rate, send)));
     points.push(point("requests", rate as f64 / 3.0, &measured));
   }
   Ok(json!(points))
 }
 
-/// Sends at a rate for the window, each on a thread of its own; answers the
-/// replies' times.
+/// Sends `rate` requests per second for one window, each on its own thread, and
+/// returns the responses.
 fn send_at(
   fleet: &Fleet,
   rate: u64,
@@ -284,13 +288,13 @@
   ended.collect()
 }
 
-/// Calls that may not be repeated, a second: claims for each write, and the time
-/// a claim adds.
+/// Cost by calls per second that must not be retried, with the claims per platform
+/// write and the latency that a claim adds.
 fn claims(program: &Path) -> io::Result<Value> {
   let mut points = Vec::new();
   for rate in [50_u64, 150, 400] {
     let fleet = plan(program, 3, 1, 1).services(2, Duration::ZERO).start()?;
-    thread::sleep(REST);
+    thread::sleep(SETTLE_TIME);
     let plain = |address: &str| caller::call(address, "/services/portal/x", None, "deck");
     let keyed = |address: &str| {
       let key = format!("{:016x}", rand::random::<u64>());
@@ -317,7 +321,7 @@
     .collect()
 }
 
-/// Measures everything, or the parts that are named.
+/// Measures the parts in `parts`, or all parts if it is empty.
 pub fn run(program: &Path, parts: &[String]) -> io::Result<Value> {
   type Part = (&'static str, fn(&Path) -> io::Result<Value>);
   let all: [Part; 7] = [
--- a/stand-ins/src/demo.rs
+++ b/stand-ins/src/demo.rs
@@ -1,5 +1,5 @@
-//! The demonstration: a burst for cold models, sent at several instances at
-//! once, answered whole.
+//! Demonstration: a burst of requests for cold models is sent to several instances
+//! concurrently, and every request must be answered completely.
 
 use crate::{
   caller::Request,
@@ -9,29 +9,30 @@
 use serde_json::json;
 use std::{io, thread, time::Duration};
 
-/// Requests of the burst for each model.
+/// Requests per model in the burst.
 const REQUESTS: usize = 12;
 const MODELS: usize = 4;
 const TOKENS: u32 = 20;
 
-/// What the demonstration saw.
+/// Result of the demonstration.
 pub struct Summary {
   pub whole: usize,
   pub requests: usize,
   pub loads: u64,
   pub violations: Vec<String>,
-  /// Time to first token, sorted.
+  /// Times to first token in ascending order.
   pub first: Vec<Duration>,
 }
 
 impl Summary {
-  /// Whether every request was answered whole and nothing was passed.
+  /// Whether every request was answered completely, no limit was exceeded and each
+  /// model was loaded exactly once.
   pub fn succeeded(&self) -> bool {
     self.whole == self.requests && self.violations.is_empty() && self.loads == MODELS as u64
   }
 }
 
-/// Runs the demonstration and prints what it saw.
+/// Runs the demonstration and prints the result.
 pub fn run() -> io::Result<Summary> {
   let mut plan = Plan::default().engines(3, |options| options.memory_mb = 400);
   for at in 0..MODELS {
@@ -56,8 +57,8 @@
     let address = fleet.callers(at).to_string();
     threads.push(thread::spawn(move || {
       let prompt = format!("question {at}");
-      let ask = Request::of(&format!("model-{}", at % MODELS), &prompt, TOKENS);
-      let reply = ask.send(&address);
+      let request = Request::of(&format!("model-{}", at % MODELS), &prompt, TOKENS);
+      let reply = request.send(&address);
       (
         reply.matches(&answer(&prompt, TOKENS as usize)),
         reply.first,
@@ -80,10 +81,13 @@
 }
 
 fn print(fleet: &Fleet, summary: &Summary) {
-  println!("answered whole: {} of {}", summary.whole, summary.requests);
+  println!(
+    "answered completely: {} of {}",
+    summary.whole, summary.requests
+  );
   println!("loads: {} for {MODELS} models", summary.loads);
   println!("violations: {}", summary.violations.len());
-  let at = |part: f64| {
+  let percentile = |part: f64| {
     let index = (summary.first.len() as f64 * part) as usize;
     summary
       .first
@@ -91,8 +95,12 @@
       .copied()
       .unwrap_or_default()
   };
-  println!("time to first token: p50 {:?}, p99 {:?}", at(0.5), at(0.99));
-  println!("time line:");
+  println!(
+    "time to first token: p50 {:?}, p99 {:?}",
+    percentile(0.5),
+    percentile(0.99)
+  );
+  println!("timeline:");
   let mut lines = Vec::new();
   for member in &fleet.members {
     let body = crate::caller::get(&member.operators, "/timeline").body;
--- a/stand-ins/src/faults.rs
+++ b/stand-ins/src/faults.rs
@@ -1,5 +1,5 @@
-//! Recovery times for docs/FAULTS.md: each fault caused a few times, with the
-//! time until the system does its work again.
+//! Recovery times for docs/FAULTS.md: injects each fault several times and measures
+//! the time until the system has recovered.
 
 use crate::{
   caller::{self, Request},
@@ -15,9 +15,9 @@
   time::{Duration, Instant},
 };
 
-/// Times each fault is caused.
+/// Number of injections of each fault.
 const ROUNDS: usize = 5;
-const PATIENCE: Duration = Duration::from_secs(30);
+const TIMEOUT: Duration = Duration::from_secs(30);
 
 fn plan(program: &Path) -> Plan {
   Plan::default()
@@ -28,16 +28,16 @@
     .model("model", 200)
 }
 
-fn ask(fleet: &Fleet, at: usize) -> bool {
+fn send_request(fleet: &Fleet, at: usize) -> bool {
   Request::of("model", "prompt", 2)
     .send(fleet.callers(at))
     .is_complete
 }
 
-/// Time until a condition holds.
+/// Time in seconds until a condition holds, at most about `TIMEOUT`.
 fn until(condition: impl Fn() -> bool) -> f64 {
   let start = Instant::now();
-  while !condition() && start.elapsed() < PATIENCE {
+  while !condition() && start.elapsed() < TIMEOUT {
     thread::sleep(Duration::from_millis(5));
   }
   start.elapsed().as_secs_f64()
@@ -48,7 +48,8 @@
   (0..fleet.members.len()).find(busy)
 }
 
-/// The instance that decides dies while the model loads; another's request waits.
+/// Kills the instance that decides on the load while the model loads and requests wait
+/// at the others.
 fn decider_dies(fleet: &mut Fleet) -> f64 {
   let addresses: Vec<String> = fleet.members.iter().map(|m| m.callers.clone()).collect();
   let send = |address: &String| {
@@ -67,7 +68,7 @@
   start.elapsed().as_secs_f64()
 }
 
-/// An instance dies; until all others have taken it out.
+/// Kills an instance. Measures the time until no other instance lists it as alive.
 fn instance_dies(fleet: &mut Fleet) -> f64 {
   let name = fleet.members[0].name.clone();
   fleet.kill(0);
@@ -85,20 +86,21 @@
   })
 }
 
-/// The engine restarts empty; until the model answers again.
+/// Restarts the engines with empty memory. Measures the time until the model answers.
 fn engine_restarts(fleet: &mut Fleet) -> f64 {
-  ask(fleet, 0);
+  send_request(fleet, 0);
   for engine in &fleet.engines {
     engine.restart();
   }
   let start = Instant::now();
-  ask(fleet, 1);
+  send_request(fleet, 1);
   start.elapsed().as_secs_f64()
 }
 
-/// A server is listed as leaving; until every instance sends it nothing new.
+/// Lists a server as leaving. Measures the time until every instance reports it as
+/// leaving and sends it no new requests.
 fn server_leaves(fleet: &mut Fleet) -> f64 {
-  ask(fleet, 0);
+  send_request(fleet, 0);
   let record = fleet.platform.record("model");
   let Some(replica) = record.replicas.first() else {
     return f64::NAN;
@@ -116,7 +118,7 @@
   })
 }
 
-/// An object is accepted; until it is in force at every instance.
+/// Changes an object. Measures the time until it is in force at every instance.
 fn configuration_changes(fleet: &mut Fleet) -> f64 {
   let version = fleet
     .platform
@@ -131,8 +133,8 @@
   })
 }
 
-/// The platform returns after an outage in which a request waits for a load;
-/// until it is answered.
+/// Ends a platform outage during which a request waits for a load. Measures the time
+/// until the request is answered.
 fn platform_returns(fleet: &mut Fleet) -> f64 {
   fleet.platform_proxy.fault(Fault::Refuse);
   let address = fleet.callers(0).to_string();
@@ -144,7 +146,8 @@
   start.elapsed().as_secs_f64()
 }
 
-/// An instance that holds a claim dies; until a repeat gets a definite answer.
+/// Kills an instance that owns a claim. Measures the time until a retry gets a
+/// definite answer.
 fn claimant_dies(fleet: &mut Fleet) -> f64 {
   let address = fleet.callers(0).to_string();
   let call = thread::spawn(move || caller::call(&address, "/services/portal/x", Some("k"), "deck"));
@@ -165,7 +168,7 @@
   }
 }
 
-/// Causes every fault and prints a table.
+/// Injects every fault and prints a table of the recovery times.
 pub fn run(program: &Path) -> io::Result<()> {
   type Case = (&'static str, fn(&mut Fleet) -> f64);
   let cases: [Case; 7] = [
--- a/stand-ins/src/fleet.rs
+++ b/stand-ins/src/fleet.rs
@@ -1,5 +1,5 @@
-//! A small deployment: a platform, engines behind proxies, and instances as
-//! threads or as processes.
+//! A small test deployment: a platform, engines behind proxies, and instances that
+//! run as threads or as processes.
 
 use crate::{
   caller,
@@ -35,7 +35,7 @@
 }
 
 impl Member {
-  /// The instance's state.
+  /// The instance's `/status` page.
   pub fn status(&self) -> Value {
     caller::get(&self.operators, "/status").body
   }
@@ -46,7 +46,7 @@
     body["configured"].as_array().cloned().unwrap_or_default()
   }
 
-  /// The process, where the instance is one.
+  /// The process ID, `None` if the instance runs as a thread.
   pub fn pid(&self) -> Option<u32> {
     match &self.runner {
       Runner::Process(child) => Some(child.id()),
@@ -64,7 +64,7 @@
     }
   }
 
-  /// Ends the process at once.
+  /// Kills the process; has no effect if the instance runs as a thread.
   pub fn kill(&mut self) {
     if let Runner::Process(child) = &mut self.runner {
       let _ = child.kill();
@@ -72,7 +72,7 @@
     }
   }
 
-  /// Waits until the process has ended; answers whether it ended well.
+  /// Waits until the instance has exited and returns whether it succeeded.
   pub fn wait(&mut self) -> bool {
     match &mut self.runner {
       Runner::Process(child) => child.wait().is_ok_and(|status| status.success()),
@@ -90,9 +90,9 @@
   }
 }
 
-/// What a fleet is built from.
+/// Configuration of a fleet.
 pub struct Plan {
-  /// Binary of the instances; none: they run as threads.
+  /// Binary of the instances, `None` to run them as threads.
   pub program: Option<PathBuf>,
   pub engines: Vec<Options>,
   pub models: Vec<(String, Value)>,
@@ -100,10 +100,10 @@
   pub instances: usize,
   /// Limits that differ from the defaults.
   pub limits: Value,
-  /// Whether instances reach the platform through a proxy each.
+  /// Lag of the platform stand-in, passed to `Platform::bind`.
   pub lag: Duration,
   pub services: usize,
-  /// Time of a plain service's call.
+  /// Duration of a call of a plain service.
   pub service_time: Duration,
 }
 
@@ -130,7 +130,7 @@
     self
   }
 
-  /// Adds `count` engines, each changed by `with`.
+  /// Adds `count` engines whose default options are modified by `with`.
   pub fn engines(mut self, count: usize, with: impl Fn(&mut Options)) -> Self {
     for _ in 0..count {
       let mut options = Options::named(&format!("server-{}", self.engines.len()));
@@ -140,14 +140,14 @@
     self
   }
 
-  /// Adds a model of this size.
+  /// Adds a model with its memory size in MB.
   pub fn model(mut self, name: &str, memory_mb: u64) -> Self {
     let value = json!({ "memoryMb": memory_mb, "labels": { "name": name } });
     self.models.push((name.into(), value));
     self
   }
 
-  /// Adds an adapter of a model.
+  /// Adds an adapter for the model `base`.
   pub fn adapter(mut self, name: &str, base: &str, memory_mb: u64) -> Self {
     let value = json!({ "memoryMb": memory_mb, "base": base, "labels": { "name": name } });
     self.models.push((name.into(), value));
@@ -160,7 +160,7 @@
     self
   }
 
-  /// Runs this many instances.
+  /// Sets the number of instances.
   pub fn instances(mut self, count: usize) -> Self {
     self.instances = count;
     self
@@ -172,14 +172,14 @@
     self
   }
 
-  /// Adds plain services' runners.
+  /// Sets the number of plain service runners and the duration of a call.
   pub fn services(mut self, count: usize, time: Duration) -> Self {
     self.services = count;
     self.service_time = time;
     self
   }
 
-  /// Starts everything and waits until every instance serves.
+  /// Starts the fleet and waits until every instance serves.
   pub fn start(self) -> io::Result<Fleet> {
     let platform = Platform::bind("127.0.0.1:0", self.lag)?;
     let mut engines = Vec::new();
@@ -222,10 +222,10 @@
 /// A running deployment.
 pub struct Fleet {
   pub platform: Platform,
-  /// Between the instances and the platform.
+  /// Proxy between the instances and the platform.
   pub platform_proxy: Proxy,
   pub engines: Vec<Engine>,
-  /// Before each engine.
+  /// Proxies in front of the engines, in the same order.
   pub proxies: Vec<Proxy>,
   pub services: Vec<Service>,
   pub service_proxies: Vec<Proxy>,
@@ -271,7 +271,7 @@
       "seeds": seeds, "limits": self.limits })
   }
 
-  /// Starts a further instance and lists it.
+  /// Starts another instance and adds it to the platform's machine list.
   pub fn add(&mut self) -> io::Result<()> {
     let name = format!("entry-{}", self.started);
     let zone = ZONES[self.started % ZONES.len()];
@@ -289,7 +289,7 @@
     Ok(())
   }
 
-  /// Ends an instance at once; the list shows it after its lag.
+  /// Kills an instance. The platform's machine list shows it after its lag.
   pub fn kill(&mut self, at: usize) {
     let mut member = self.members.remove(at);
     member.kill();
@@ -298,7 +298,7 @@
       .machine(&member.name, None, MachineState::Gone);
   }
 
-  /// Waits until every instance serves and sees all others.
+  /// Waits until every instance serves, has its configuration and sees all others.
   pub fn wait_until_ready(&self) {
     let count = self.members.len();
     for member in &self.members {
@@ -312,18 +312,18 @@
     }
   }
 
-  /// Where callers reach an instance.
+  /// The address of an instance for callers; the index wraps around.
   pub fn callers(&self, at: usize) -> &str {
     &self.members[at % self.members.len()].callers
   }
 
-  /// The engine's place in the fleet.
+  /// Index of the engine with this name, 0 if there is none.
   pub fn engine(&self, name: &str) -> usize {
     let found = self.engines.iter().position(|engine| engine.name() == name);
     found.unwrap_or_default()
   }
 
-  /// Every limit that was passed, as the stand-ins recorded it.
+  /// Violations that the engines recorded, and differences from the platform records.
   pub fn violations(&self) -> Vec<String> {
     let engines = self.engines.iter();
     let mut faults: Vec<String> = engines.flat_map(Engine::violations).collect();
@@ -337,7 +337,7 @@
     residents.filter(|(resident, _)| resident == model).count()
   }
 
-  /// Requests waiting at all instances.
+  /// Total number of requests that wait at the instances.
   pub fn waiting(&self) -> u64 {
     let waiting = self
       .members
@@ -346,7 +346,7 @@
     waiting.flatten().sum()
   }
 
-  /// Loads begun on all engines.
+  /// Total number of started loads on all engines.
   pub fn loads(&self) -> u64 {
     self.engines.iter().map(Engine::loads).sum()
   }
@@ -376,7 +376,7 @@
   let mut child = Command::new(program)
     .args(["serve", "--settings"])
     .arg(&path)
-    // As docs/OPERATIONS.md asks of every deployment.
+    // Required for every deployment by docs/OPERATIONS.md.
     .env("MALLOC_ARENA_MAX", "2")
     .stdout(Stdio::piped())
     .stderr(log)
@@ -384,12 +384,12 @@
   let stdout = child
     .stdout
     .take()
-    .ok_or_else(|| io::Error::other("no output"))?;
+    .ok_or_else(|| io::Error::other("instance has no stdout"))?;
   let mut lines = BufReader::new(stdout).lines();
   let ports = loop {
     let line = lines.next().ok_or(io::ErrorKind::UnexpectedEof)??;
     let value: Value = serde_json::from_str(&line).map_err(io::Error::other)?;
-    // Lines of the log may come before it.
+    // Log lines may precede the line with the ports.
     if value.get("msg").is_none() {
       break value;
     }
@@ -413,16 +413,16 @@
   })
 }
 
-/// Waits for a condition, far longer than it should take.
+/// Waits for a condition and panics after 60 s, far longer than it should take.
 pub fn wait_for(what: &str, condition: impl Fn() -> bool) {
   let until = Instant::now() + Duration::from_secs(60);
   while !condition() {
-    assert!(Instant::now() < until, "waited in vain for {what}");
+    assert!(Instant::now() < until, "timed out waiting for {what}");
     std::thread::sleep(Duration::from_millis(10));
   }
 }
 
-/// An address with nothing behind it.
+/// A local address on which nothing listens.
 pub fn unused_address() -> io::Result<SocketAddr> {
   std::net::TcpListener::bind("127.0.0.1:0")?.local_addr()
 }
