--- a/stand-ins/src/bench.rs
+++ b/stand-ins/src/bench.rs
@@ -91,7 +91,7 @@
       reply.matches(&answer(&prompt, TOKENS as usize)),
       "{reply:?}"
     );
-    through_times.push(reply.first.as_secs_f64() * 1_000.0);
+    through_times.push(reply.time_to_first_token.as_secs_f64() * 1_000.0);
     direct_times.push(direct(&fleet, replica, &prompt).as_secs_f64() * 1_000.0);
   }
   let added = |part| quantile(&through_times, part) - quantile(&direct_times, part);
@@ -163,7 +163,11 @@
       .into_iter()
       .filter_map(|thread| thread.join().ok())
       .collect();
-    first.extend(replies.iter().map(|reply| reply.first.as_secs_f64()));
+    first.extend(
+      replies
+        .iter()
+        .map(|reply| reply.time_to_first_token.as_secs_f64()),
+    );
     eprintln!(
       "{mode}: {} complete in {:?}",
       replies.iter().filter(|r| r.is_complete).count(),
--- a/stand-ins/src/caller.rs
+++ b/stand-ins/src/caller.rs
@@ -19,7 +19,7 @@
   pub reason: String,
   pub verdict: String,
   pub retry_after_ms: Option<u64>,
-  pub first: Duration,
+  pub time_to_first_token: Duration,
   pub total: Duration,
   /// The response body, null if it is not JSON.
   pub body: Value,
@@ -132,7 +132,7 @@
       return;
     }
     if answer.text.is_empty() {
-      answer.first = start.elapsed();
+      answer.time_to_first_token = start.elapsed();
     }
     answer.text += event["choices"][0]["text"].as_str().unwrap_or_default();
   }
--- a/stand-ins/src/demo.rs
+++ b/stand-ins/src/demo.rs
@@ -61,7 +61,7 @@
       let reply = request.send(&address);
       (
         reply.matches(&answer(&prompt, TOKENS as usize)),
-        reply.first,
+        reply.time_to_first_token,
       )
     }));
   }
--- a/stand-ins/src/engine/completion.rs
+++ b/stand-ins/src/engine/completion.rs
@@ -52,7 +52,7 @@
         attempt: completion.attempt.clone(),
         model: completion.model.clone(),
         tokens: 0,
-        whole: false,
+        is_complete: false,
       });
       return Some(boot);
     }
@@ -76,7 +76,7 @@
   let mut runs = runs.filter(|run| run.attempt == completion.attempt);
   if let Some(run) = runs.next() {
     run.tokens = tokens;
-    run.whole = whole;
+    run.is_complete = whole;
   }
   shared.1.notify_all();
 }
--- a/stand-ins/src/engine/mod.rs
+++ b/stand-ins/src/engine/mod.rs
@@ -86,7 +86,7 @@
   pub attempt: String,
   pub model: String,
   pub tokens: usize,
-  pub whole: bool,
+  pub is_complete: bool,
 }
 
 /// A running engine.
--- a/stand-ins/src/trace.rs
+++ b/stand-ins/src/trace.rs
@@ -295,7 +295,7 @@
   };
   for (whole, reply) in replies {
     match (whole, reply.verdict.as_str()) {
-      (true, _) => outcome.first.push(reply.first.as_secs_f64()),
+      (true, _) => outcome.first.push(reply.time_to_first_token.as_secs_f64()),
       (false, "") => outcome.broken += 1,
       (false, _) => outcome.refused += 1,
     }
--- a/tests/answers.rs
+++ b/tests/answers.rs
@@ -195,7 +195,7 @@
   }
   // The caller has a token while the engine is still producing the others.
   assert_eq!(fleet.engines[0].busy(), 1);
-  assert!(!fleet.engines[0].runs()[0].whole);
+  assert!(!fleet.engines[0].runs()[0].is_complete);
 }
 
 #[test]
