--- a/stand-ins/src/demo.rs
+++ b/stand-ins/src/demo.rs
@@ -16,7 +16,7 @@
 
 /// Result of the demonstration.
 pub struct Summary {
-  pub whole: usize,
+  pub completed: usize,
   pub requests: usize,
   pub loads: u64,
   pub violations: Vec<String>,
@@ -25,10 +25,10 @@
 }
 
 impl Summary {
-  /// Whether every request was answered completely, no limit was exceeded and each
-  /// model was loaded exactly once.
+  /// Whether every request was answered completely, no limit was exceeded and the
+  /// number of loads equals the number of models.
   pub fn succeeded(&self) -> bool {
-    self.whole == self.requests && self.violations.is_empty() && self.loads == MODELS as u64
+    self.completed == self.requests && self.violations.is_empty() && self.loads == MODELS as u64
   }
 }
 
@@ -72,7 +72,7 @@
   let mut first: Vec<Duration> = answers.iter().map(|(_, first)| *first).collect();
   first.sort();
   Summary {
-    whole: answers.iter().filter(|(whole, _)| *whole).count(),
+    completed: answers.iter().filter(|(complete, _)| *complete).count(),
     requests: REQUESTS * MODELS,
     loads: fleet.engines.iter().map(Engine::loads).sum(),
     violations: fleet.violations(),
@@ -83,7 +83,7 @@
 fn print(fleet: &Fleet, summary: &Summary) {
   println!(
     "answered completely: {} of {}",
-    summary.whole, summary.requests
+    summary.completed, summary.requests
   );
   println!("loads: {} for {MODELS} models", summary.loads);
   println!("violations: {}", summary.violations.len());
--- a/stand-ins/src/engine/completion.rs
+++ b/stand-ins/src/engine/completion.rs
@@ -61,7 +61,7 @@
   }
 }
 
-fn leave(shared: &Shared, completion: &Completion, boot: u64, tokens: usize, whole: bool) {
+fn leave(shared: &Shared, completion: &Completion, boot: u64, tokens: usize, is_complete: bool) {
   let mut state = lock(shared);
   if state.boot == boot
     && let Some(loaded) = state.replicas.get_mut(&completion.replica)
@@ -76,7 +76,7 @@
   let mut runs = runs.filter(|run| run.attempt == completion.attempt);
   if let Some(run) = runs.next() {
     run.tokens = tokens;
-    run.is_complete = whole;
+    run.is_complete = is_complete;
   }
   shared.1.notify_all();
 }
@@ -115,8 +115,8 @@
     index += step.min(total - index);
     sent += 1;
   }
-  let whole = connected && index == total;
-  if whole {
+  let is_complete = connected && index == total;
+  if is_complete {
     let done = Done {
       attempt: completion.attempt.clone(),
       total,
@@ -126,7 +126,7 @@
       .write_all(line.as_bytes())
       .and_then(|()| writer.flush());
   }
-  leave(shared, completion, boot, index, whole);
+  leave(shared, completion, boot, index, is_complete);
 }
 
 fn lines(completion: &Completion, index: usize, count: usize, disorder: bool) -> String {
--- a/stand-ins/src/fleet.rs
+++ b/stand-ins/src/fleet.rs
@@ -100,7 +100,7 @@
   pub instances: usize,
   /// Limits that differ from the defaults.
   pub limits: Value,
-  /// Lag of the platform stand-in, passed to `Platform::bind`.
+  /// Delay until a state change of a machine shows in the platform's list.
   pub lag: Duration,
   pub services: usize,
   /// Duration of a call of a plain service.
