--- a/stand-ins/src/lib.rs
+++ b/stand-ins/src/lib.rs
@@ -1,6 +1,6 @@
-//! Stand-ins for the systems bendsaddle serves, with faults on demand.
+//! Test doubles for the systems around bendsaddle, with fault injection.
 //!
-//! They keep records of their own, so that a promise is checked from outside.
+//! They keep their own records, so that guarantees can be checked from outside the process.
 
 pub mod bench;
 pub mod budget;
--- a/stand-ins/src/main.rs
+++ b/stand-ins/src/main.rs
@@ -82,8 +82,8 @@
   Ok(args)
 }
 
-/// Replays every seed for every named policy, seed by seed, so that all meet the
-/// same moments of the machine.
+/// Replays every seed for every named policy. The policies of one seed run one after another,
+/// so that all of them see similar load on the machine.
 fn run_traces(args: &Args) -> Result<bool, Box<dyn Error>> {
   let program = args.program.as_ref().ok_or("trace: --program is missing")?;
   let known = trace::variants();
@@ -91,10 +91,10 @@
   if let Some(name) = args.rest.iter().find(unknown) {
     return Err(format!("trace: policy `{name}` is unknown").into());
   }
-  let wanted = |variant: &&trace::Variant| {
+  let selected = |variant: &&trace::Variant| {
     args.rest.is_empty() || args.rest.iter().any(|name| name == variant.name)
   };
-  let variants: Vec<_> = known.iter().filter(wanted).collect();
+  let variants: Vec<_> = known.iter().filter(selected).collect();
   let mut outcomes = vec![trace::Outcome::default(); variants.len()];
   for seed in 1..=args.seeds {
     for (variant, outcome) in variants.iter().zip(&mut outcomes) {
@@ -114,29 +114,29 @@
   )
 }
 
-/// Prints the table of roles and the limits that are broken.
+/// Prints the table of roles, and the exceeded limits to stderr.
 fn run_budget(args: &Args) -> Result<bool, Box<dyn Error>> {
   let path = args
     .rest
     .first()
-    .ok_or("budget: name the file of measured points")?;
+    .ok_or("budget: file of measured points is missing")?;
   let measured = serde_json::from_str(&std::fs::read_to_string(path)?)?;
   print!("{}", budget::table(&measured));
-  let broken = budget::exceeded(&measured);
-  for limit in &broken {
+  let exceeded = budget::exceeded(&measured);
+  for limit in &exceeded {
     eprintln!("{limit}");
   }
-  Ok(broken.is_empty())
+  Ok(exceeded.is_empty())
 }
 
-/// Prints the benchmarks as JSON.
+/// Runs the benchmarks and prints the results as JSON.
 fn run_bench(args: &Args) -> Result<bool, Box<dyn Error>> {
   let program = args.program.as_ref().ok_or("bench: --program is missing")?;
   println!("{}", serde_json::to_string_pretty(&bench::run(program)?)?);
   Ok(true)
 }
 
-/// Prints the measured points as JSON.
+/// Measures capacity and prints the measured points as JSON.
 fn run_capacity(args: &Args) -> Result<bool, Box<dyn Error>> {
   let program = args
     .program
@@ -147,7 +147,7 @@
   Ok(true)
 }
 
-/// Plays fleets of some sizes through the planner and prints what it takes.
+/// Simulates fleets of several sizes with the planner and prints its costs and results.
 fn run_plan(args: &Args) -> Result<bool, Box<dyn Error>> {
   let sizes = match args.rest.is_empty() {
     true => vec![16, 64, 256],
@@ -157,7 +157,7 @@
       .map(|size| {
         size
           .parse()
-          .map_err(|_| format!("plan: `{size}` is no number of servers"))
+          .map_err(|_| format!("plan: `{size}` is not a number of servers"))
       })
       .collect::<Result<Vec<usize>, String>>()?,
   };
@@ -169,28 +169,28 @@
       cores: 0.5,
       rest: 6.0,
     };
-    let even = Size::of(servers);
+    let base = Size::of(servers);
     let size = Size {
-      rare_per_s: even.rare_per_s * f64::from(args.load) / 100.0,
-      ..even
+      rare_per_s: base.rare_per_s * f64::from(args.load) / 100.0,
+      ..base
     };
-    let seen = Replay::open(size, holder, 1).play();
-    let us = |hundredths| percentile(&seen.steps, hundredths).as_micros();
-    let part = |count: u32| f64::from(count) / f64::from(seen.requests.max(1));
+    let outcome = Replay::open(size, holder, 1).play();
+    let us = |hundredths| percentile(&outcome.steps, hundredths).as_micros();
+    let fraction = |count: u32| f64::from(count) / f64::from(outcome.requests.max(1));
     println!(
       "{servers:>7} {:>6} {:>11} {:>4} {:>14} {:>4} {:>14} {:>4} {:>9} {:>8.3} {:>7.3} {:>7} {:>9}",
-      seen.steps.len(),
+      outcome.steps.len(),
       us(50),
       us(99),
-      percentile(&seen.decided_ms, 50),
-      percentile(&seen.decided_ms, 90),
-      percentile(&seen.ordered_ms, 50),
-      percentile(&seen.ordered_ms, 90),
-      seen.requests,
-      part(seen.in_time),
-      part(seen.served),
-      seen.orders,
-      seen.holdings,
+      percentile(&outcome.decided_ms, 50),
+      percentile(&outcome.decided_ms, 90),
+      percentile(&outcome.ordered_ms, 50),
+      percentile(&outcome.ordered_ms, 90),
+      outcome.requests,
+      fraction(outcome.in_time),
+      fraction(outcome.served),
+      outcome.orders,
+      outcome.holdings,
     );
   }
   Ok(true)
--- a/stand-ins/src/platform.rs
+++ b/stand-ins/src/platform.rs
@@ -1,5 +1,5 @@
-//! The platform: an object API with versions, conditional updates and watches,
-//! and a list of machines that lags.
+//! A platform with an object API (versions, conditional updates, watches) and an eventually
+//! consistent list of machines.
 
 use crate::http;
 use bendsaddle::{fact::MachineState, ledger::Ledger, object::Kind, record::Record};
@@ -14,37 +14,37 @@
 };
 use tiny_http::{Method, Request};
 
-/// Largest value, bytes.
+/// Maximum size of a value, in bytes.
 const VALUE_LIMIT: usize = 1 << 20;
 
-/// Faults in force.
+/// Active faults.
 #[derive(Clone, Debug, Default)]
 pub struct Faults {
-  /// Every call fails.
+  /// Whether every call fails.
   pub down: bool,
-  /// Added to every answer.
+  /// Delay added to every response.
   pub slow: Duration,
-  /// Writes that take effect and whose answer is lost, still to come.
+  /// Number of upcoming writes that take effect but whose response is dropped.
   pub lose_answers: u32,
-  /// Reads of this object whose answer is lost, still to come.
+  /// An object's kind and name, and the number of its upcoming reads whose response is dropped.
   pub lose_reads: Option<(Kind, String, u32)>,
-  /// Reads, watches and lists answer from an old copy.
+  /// Whether reads, watches and lists of names return an old snapshot.
   pub stale: bool,
 }
 
 impl Faults {
-  /// Whether the answer to a read of this object is lost.
+  /// Whether the response to a read of this object is dropped. Counts down `lose_reads`.
   fn loses_read(&mut self, kind: &str, name: &str) -> bool {
-    let Some((of, named, left)) = &mut self.lose_reads else {
+    let Some((of_kind, of_name, remaining)) = &mut self.lose_reads else {
       return false;
     };
-    let lost = *left > 0 && of.as_str() == kind && named == name;
-    *left -= u32::from(lost);
+    let lost = *remaining > 0 && of_kind.as_str() == kind && of_name == name;
+    *remaining -= u32::from(lost);
     lost
   }
 }
 
-/// Calls counted.
+/// Call counters.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Calls {
   pub reads: u64,
@@ -64,7 +64,7 @@
 struct Machine {
   peer: Option<String>,
   state: MachineState,
-  /// When the list shows it.
+  /// When the list starts to show `state` instead of `before`.
   shown_at: Instant,
   before: Option<MachineState>,
 }
@@ -84,7 +84,7 @@
   faults: Faults,
   calls: Calls,
   lag: Duration,
-  /// Writes and reads allowed a second; 0: any.
+  /// Maximum writes and reads per second; 0 is unlimited.
   rates: (u32, u32),
   second: Instant,
   spent: (u32, u32),
@@ -99,7 +99,7 @@
 }
 
 impl Platform {
-  /// Binds a platform whose list of machines lags by `lag`.
+  /// Binds a platform whose list shows state changes of machines after `lag`.
   pub fn bind(address: &str, lag: Duration) -> io::Result<Self> {
     let inner = Inner {
       objects: Objects::default(),
@@ -124,7 +124,7 @@
     self.inner.0.lock().unwrap_or_else(PoisonError::into_inner)
   }
 
-  /// Changes the faults in force.
+  /// Changes the active faults. Turning on `stale` takes the snapshot that is then served.
   pub fn fault(&self, change: impl FnOnce(&mut Faults)) {
     let mut inner = self.lock();
     let stale = inner.faults.stale;
@@ -135,12 +135,12 @@
     self.inner.1.notify_all();
   }
 
-  /// Bounds the writes and reads of a second; 0: any number.
+  /// Limits the writes and reads per second; 0 is unlimited.
   pub fn limit(&self, writes: u32, reads: u32) {
     self.lock().rates = (writes, reads);
   }
 
-  /// Writes an object past any check, as an operator's tool could.
+  /// Writes an object without a version check, as an operator's tool could.
   pub fn put(&self, kind: Kind, name: &str, value: Value) -> u64 {
     let mut inner = self.lock();
     let version = inner.put(kind.as_str(), name, Some(value));
@@ -148,7 +148,7 @@
     version
   }
 
-  /// Removes an object past any check.
+  /// Deletes an object without a version check.
   pub fn delete(&self, kind: Kind, name: &str) -> u64 {
     let mut inner = self.lock();
     let version = inner.put(kind.as_str(), name, None);
@@ -163,28 +163,28 @@
     self.lock().races.insert(key, value);
   }
 
-  /// An object's value.
+  /// An object's value, or `None` if the object does not exist.
   pub fn get(&self, kind: Kind, name: &str) -> Option<Value> {
     let inner = self.lock();
     let key = (kind.as_str().to_string(), name.to_string());
     inner.objects.held.get(&key)?.value.clone()
   }
 
-  /// A model's record.
+  /// A model's record, or the default if it is missing or cannot be parsed.
   pub fn record(&self, model: &str) -> Record {
     let value = self.get(Kind::ModelRecord, model);
     let record = value.and_then(|value| serde_json::from_value(value).ok());
     record.unwrap_or_default()
   }
 
-  /// A server's record.
+  /// A server's record, or the default if it is missing or cannot be parsed.
   pub fn ledger(&self, server: &str) -> Ledger {
     let value = self.get(Kind::ServerRecord, server);
     let ledger = value.and_then(|value| serde_json::from_value(value).ok());
     ledger.unwrap_or_default()
   }
 
-  /// Lists a machine, or changes its state; shown after the lag.
+  /// Adds a machine to the list, or changes its state. A change is shown after the lag.
   pub fn machine(&self, id: &str, peer: Option<String>, state: MachineState) {
     let mut inner = self.lock();
     let before = inner.machines.get(id).map(|machine| machine.state);
@@ -203,7 +203,7 @@
     inner.listing += 1;
   }
 
-  /// Calls counted so far.
+  /// The call counters.
   pub fn calls(&self) -> Calls {
     self.lock().calls
   }
@@ -249,7 +249,7 @@
   };
   thread::sleep(faults.slow);
   if faults.down {
-    // No answer at all: the connection closes.
+    // Closes the connection without a response.
     drop(request.into_writer());
     return;
   }
@@ -362,7 +362,7 @@
       entries.push(json!({ "id": id, "peer": machine.peer, "state": state }));
     }
   }
-  // The revision rises with time too, since a lagging change shows without one.
+  // The revision also increases with time, because a delayed change appears without increasing it.
   let revision = inner.listing + now.duration_since(inner.second).as_secs();
   inner.listing = revision + 1;
   json!({ "revision": inner.listing, "instances": entries })
@@ -379,7 +379,7 @@
     .and_then(|limit| limit.parse().ok())
     .unwrap_or(usize::MAX);
   let kinds = http::param(url, "kinds").unwrap_or_default();
-  let until = Instant::now() + Duration::from_millis(wait);
+  let deadline = Instant::now() + Duration::from_millis(wait);
   let mut held = inner.0.lock().unwrap_or_else(PoisonError::into_inner);
   held.calls.watches += 1;
   loop {
@@ -394,16 +394,16 @@
     });
     let mut changed: Vec<_> = changed.collect();
     changed.sort_by_key(|(_, held)| held.version);
-    let cut = changed.len() > limit;
+    let truncated = changed.len() > limit;
     changed.truncate(limit);
     let last = changed.last().map(|(_, held)| held.version);
-    let revision = if cut {
+    let revision = if truncated {
       last.unwrap_or_default()
     } else {
       objects.revision
     };
-    let left = until.saturating_duration_since(Instant::now());
-    if !changed.is_empty() || left.is_zero() || after == 0 {
+    let remaining = deadline.saturating_duration_since(Instant::now());
+    if !changed.is_empty() || remaining.is_zero() || after == 0 {
       let page = changed.into_iter().map(|((kind, name), held)| {
         json!({ "kind": kind, "name": name, "version": held.version, "value": held.value })
       });
@@ -412,7 +412,7 @@
       drop(held);
       return http::json(request, 200, &body);
     }
-    let waited = inner.1.wait_timeout(held, left);
+    let waited = inner.1.wait_timeout(held, remaining);
     held = waited.unwrap_or_else(PoisonError::into_inner).0;
   }
 }
--- a/stand-ins/src/proxy.rs
+++ b/stand-ins/src/proxy.rs
@@ -13,42 +13,42 @@
   time::Duration,
 };
 
-/// What is done to connections.
+/// The fault injected into connections.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Fault {
-  /// Pass everything.
+  /// Forward everything.
   #[default]
   None,
-  /// Accept no connection: connects are refused.
+  /// Close the listener, so that connects are refused.
   Refuse,
-  /// Hold each piece for a time before it passes.
+  /// Delay each chunk before forwarding it.
   Delay(Duration),
-  /// Accept and swallow; answer nothing.
+  /// Accept and discard all data in both directions; nothing is forwarded.
   Hold,
-  /// Close at once after accepting.
+  /// Close immediately after accepting.
   Close,
-  /// Pass this many bytes of the request, then close.
+  /// Forward this many bytes of the request, then close.
   CutRequest(usize),
-  /// Pass the request, then close before the answer.
+  /// Forward the request, then close before the response.
   LoseAnswer,
-  /// Pass this many bytes of the answer, then close.
+  /// Forward this many bytes of the response, then close.
   CutAnswer(usize),
 }
 
 struct Inner {
   target: Mutex<SocketAddr>,
   fault: Mutex<Fault>,
-  /// Connections still to be hit; then the fault ends.
-  left: AtomicU64,
+  /// Number of further connections that get the fault. Later ones are not affected.
+  remaining: AtomicU64,
   open: Mutex<HashMap<u64, [TcpStream; 2]>>,
   connections: AtomicU64,
   closing: AtomicBool,
-  /// Nothing passes towards the target, and from it.
-  held: [AtomicBool; 2],
+  /// Whether forwarding is paused towards the target, and from it.
+  paused: [AtomicBool; 2],
 }
 
-/// Pause between two looks whether a held direction is open again.
-const HELD: Duration = Duration::from_millis(5);
+/// Interval between checks whether a paused direction has resumed.
+const PAUSE_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// A running proxy.
 #[derive(Clone)]
@@ -62,48 +62,49 @@
 }
 
 impl Proxy {
-  /// Binds a proxy before `target`.
+  /// Binds a proxy that forwards to `target`.
   pub fn bind(target: SocketAddr) -> io::Result<Self> {
     let listener = listen("127.0.0.1:0")?;
     let address = listener.local_addr()?;
     let inner = Arc::new(Inner {
       target: Mutex::new(target),
       fault: Mutex::default(),
-      left: AtomicU64::new(0),
+      remaining: AtomicU64::new(0),
       open: Mutex::default(),
       connections: AtomicU64::new(0),
       closing: AtomicBool::new(false),
-      held: Default::default(),
+      paused: Default::default(),
     });
     let served = inner.clone();
     thread::spawn(move || accept(&served, listener, address));
     Ok(Self { inner, address })
   }
 
-  /// Puts a fault in force until changed.
+  /// Injects a fault into all new connections until the next call. `Refuse` also closes the open
+  /// ones.
   pub fn fault(&self, fault: Fault) {
-    self.inner.left.store(u64::MAX, Ordering::SeqCst);
+    self.inner.remaining.store(u64::MAX, Ordering::SeqCst);
     *lock(&self.inner.fault) = fault;
     if fault == Fault::Refuse {
       self.cut();
-      // Wakes the acceptor, so that it closes its socket.
+      // Wakes the accept loop, so that it closes the listener.
       while TcpStream::connect(self.address).is_ok() {
         thread::sleep(Duration::from_millis(1));
       }
     }
   }
 
-  /// Puts a fault in force for the next connections.
+  /// Injects a fault into the next `connections` connections only.
   pub fn fault_next(&self, fault: Fault, connections: u64) {
     *lock(&self.inner.fault) = fault;
-    self.inner.left.store(connections, Ordering::SeqCst);
+    self.inner.remaining.store(connections, Ordering::SeqCst);
   }
 
-  /// Lets nothing pass towards the target, from it, or both; open connections stay and
-  /// are silent.
+  /// Pauses or resumes forwarding towards the target (`up`) and from it (`down`). Open connections
+  /// stay open.
   pub fn hold(&self, up: bool, down: bool) {
-    self.inner.held[0].store(up, Ordering::SeqCst);
-    self.inner.held[1].store(down, Ordering::SeqCst);
+    self.inner.paused[0].store(up, Ordering::SeqCst);
+    self.inner.paused[1].store(down, Ordering::SeqCst);
   }
 
   /// Closes every open connection.
@@ -113,12 +114,12 @@
     }
   }
 
-  /// Sends new connections elsewhere.
+  /// Changes the target of new connections.
   pub fn retarget(&self, target: SocketAddr) {
     *lock(&self.inner.target) = target;
   }
 
-  /// Connections accepted.
+  /// Number of accepted connections.
   pub fn connections(&self) -> u64 {
     self.inner.connections.load(Ordering::SeqCst)
   }
@@ -145,7 +146,7 @@
     let number = inner.connections.fetch_add(1, Ordering::SeqCst);
     let inner = inner.clone();
     thread::spawn(move || {
-      carry(&inner, client, number);
+      forward(&inner, client, number);
       lock(&inner.open).remove(&number);
     });
   }
@@ -153,14 +154,14 @@
 
 fn take_fault(inner: &Inner) -> Fault {
   let fault = *lock(&inner.fault);
-  let take = |left: u64| left.checked_sub(1);
+  let decrement = |remaining: u64| remaining.checked_sub(1);
   let taken = inner
-    .left
-    .fetch_update(Ordering::SeqCst, Ordering::SeqCst, take);
+    .remaining
+    .fetch_update(Ordering::SeqCst, Ordering::SeqCst, decrement);
   if taken.is_ok() { fault } else { Fault::None }
 }
 
-fn carry(inner: &Arc<Inner>, client: TcpStream, number: u64) {
+fn forward(inner: &Arc<Inner>, client: TcpStream, number: u64) {
   let fault = take_fault(inner);
   let target = *lock(&inner.target);
   if fault == Fault::Close {
@@ -173,7 +174,7 @@
   let _ = server.set_nodelay(true);
   let (up, down) = match fault {
     Fault::Delay(time) => (Pass::Delay(time), Pass::Delay(time)),
-    Fault::Hold => (Pass::Swallow, Pass::Swallow),
+    Fault::Hold => (Pass::Discard, Pass::Discard),
     Fault::CutRequest(bytes) => (Pass::Cut(bytes), Pass::All),
     Fault::LoseAnswer => (Pass::All, Pass::Cut(0)),
     Fault::CutAnswer(bytes) => (Pass::All, Pass::Cut(bytes)),
@@ -185,9 +186,9 @@
   if let (Ok(client), Ok(server)) = (client.try_clone(), server.try_clone()) {
     lock(&inner.open).insert(number, [client, server]);
   }
-  let holder = inner.clone();
-  let upstream = thread::spawn(move || pump(client_read, server, up, &holder.held[0]));
-  pump(server_read, client, down, &inner.held[1]);
+  let upstream_inner = inner.clone();
+  let upstream = thread::spawn(move || copy(client_read, server, up, &upstream_inner.paused[0]));
+  copy(server_read, client, down, &inner.paused[1]);
   let _ = upstream.join();
 }
 
@@ -195,12 +196,12 @@
 enum Pass {
   All,
   Delay(Duration),
-  Swallow,
-  /// Bytes passed before the connection closes.
+  Discard,
+  /// Number of bytes to forward before closing the connection.
   Cut(usize),
 }
 
-fn pump(mut from: TcpStream, mut to: TcpStream, pass: Pass, held: &AtomicBool) {
+fn copy(mut from: TcpStream, mut to: TcpStream, pass: Pass, paused: &AtomicBool) {
   let mut buffer = [0; 8 << 10];
   let mut passed = 0;
   loop {
@@ -209,18 +210,18 @@
       _ => break,
     };
     let mut length = length;
-    while held.load(Ordering::SeqCst) {
-      thread::sleep(HELD);
+    while paused.load(Ordering::SeqCst) {
+      thread::sleep(PAUSE_POLL_INTERVAL);
     }
     match pass {
       Pass::All => {}
       Pass::Delay(time) => thread::sleep(time),
-      Pass::Swallow => continue,
-      Pass::Cut(most) => {
-        length = length.min(most - passed);
+      Pass::Discard => continue,
+      Pass::Cut(limit) => {
+        length = length.min(limit - passed);
         let _ = to.write_all(&buffer[..length]);
         passed += length;
-        if passed >= most {
+        if passed >= limit {
           let _ = from.shutdown(Shutdown::Both);
           let _ = to.shutdown(Shutdown::Both);
           return;
--- a/stand-ins/src/replay.rs
+++ b/stand-ins/src/replay.rs
@@ -1,8 +1,8 @@
-//! A fleet's load played through the pure planner: no sockets, no clock, a seed.
+//! Simulates the load of a fleet with the pure planner: without sockets or a clock, from a seed.
 //!
-//! Rare models are asked for evenly over many instances; each waits for its model and runs
-//! where the holder's last update says that the model is. Servers carry orders out, one at a
-//! time, and answer questions.
+//! Requests for rare models arrive evenly over many instances. Each waits for its model and runs
+//! on a server that has the model according to the lease holder's last update. Servers execute
+//! orders, one at a time, and answer inventory queries.
 
 use bendsaddle::{
   backend::{Spec, Stage},
@@ -26,36 +26,36 @@
   time::Duration,
 };
 
-/// Sizes of a fleet and its load.
+/// Size of a fleet and its load.
 #[derive(Clone, Copy, Debug)]
 pub struct Size {
   pub servers: usize,
   pub instances: usize,
-  /// Models that nobody asks for often.
+  /// Number of rarely used models.
   pub rare: usize,
-  /// Requests a second for rare models.
+  /// Requests per second for rare models.
   pub rare_per_s: f64,
-  /// Servers' places that common models take.
+  /// Number of model places on servers that common models occupy.
   pub common_places: usize,
-  /// Time that is played, ms.
+  /// Simulated time, in ms.
   pub ms: u64,
-  /// One model that many ask for.
+  /// A model in high demand, or `None` for a fleet without one.
   pub popular: Option<Popular>,
 }
 
-/// A model that needs many servers.
+/// A model that needs replicas on many servers.
 #[derive(Clone, Copy, Debug)]
 pub struct Popular {
-  /// Requests a second, from and to a time, ms.
+  /// Requests per second between `from` and `to`, which are in ms.
   pub per_s: f64,
   pub from: u64,
   pub to: u64,
-  /// Time of an update on its way to all instances, ms: at size it is some hundred.
+  /// Delay until an update reaches all instances, in ms. In a large fleet it is several hundred.
   pub update_ms: u64,
 }
 
 impl Size {
-  /// A fleet of so many servers, with a load in proportion.
+  /// A fleet of `servers` servers, with a proportional load.
   pub fn of(servers: usize) -> Self {
     Self {
       servers,
@@ -69,96 +69,98 @@
   }
 }
 
-/// The model that many ask for, copies of it on disks, and servers that hold it at first.
+/// Name of the popular model, the number of servers with a copy on disk, and the number of servers
+/// that have it loaded at the start.
 const POPULAR: &str = "popular";
 const POPULAR_COPIES: usize = 64;
 const POPULAR_HELD: usize = 2;
-/// Requests that a server runs at once.
+/// Concurrent requests per server.
 const SLOTS: u32 = 12;
-/// Part of their objective that requests spend at a server with free slots, and what full
-/// slots add.
-const QUICK: f32 = 0.05;
-const CROWDED: f32 = 0.4;
-/// Models in common use.
+/// Fraction of their objective that requests spend at a server with free slots, and the fraction
+/// that full slots add.
+const FREE_SLOTS_SLOWNESS: f32 = 0.05;
+const FULL_SLOTS_SLOWNESS: f32 = 0.4;
+/// Number of commonly used models.
 const COMMON: usize = 8;
-/// Places of a server, and what each holds, MB.
-const PLACES: usize = 3;
+/// Models that fit on a server, and the size of each in MB.
+const MODELS_PER_SERVER: usize = 3;
 const MODEL_MB: u64 = 70;
-/// Copies of each rare model on disks.
+/// Number of copies of each rare model on disks.
 const COPIES: usize = 2;
 const DISK_MS: u64 = 600;
 const REMOTE_MS: u64 = 13_200;
-/// Time of a run, ms.
+/// Duration of a run, in ms.
 const RUN_MS: u64 = 800;
-/// Objective and patience of requests for rare models, ms.
+/// Objective and patience of requests for rare models, in ms.
 const OBJECTIVE_MS: u32 = 2_000;
 const PATIENCE_MS: u32 = 7_000;
-/// Part of their objective that requests spend at servers.
+/// Fraction of their objective that requests spend at servers.
 const SLOWNESS: f32 = 0.1;
-/// Time between two reports of an instance, ms.
+/// Interval between the reports of an instance, in ms.
 const REPORT_MS: u64 = 150;
-/// Time of an order or a question on its way, ms, both ways.
+/// Round-trip time of an order or an inventory query, in ms.
 const ORDER_MS: u64 = 4;
-/// Time of an unload without runs, ms.
+/// Duration of an unload without active runs, in ms.
 const UNLOAD_MS: u64 = 40;
-/// Time of an update on its way to all instances, ms.
+/// Delay until an update reaches all instances, in ms.
 const UPDATE_MS: u64 = 10;
 
-/// What a holder can spend on its steps.
+/// Processor time available to the lease holder for planner steps.
 #[derive(Clone, Copy, Debug)]
 pub enum Holder {
   /// Steps take no time.
   Free,
-  /// Steps take the time that they take here, on so much of a core, and a rest of some
-  /// times as long.
+  /// Steps take the processor time measured here, scaled to this many `cores`, followed by a pause
+  /// of `rest` times that duration.
   Paced { cores: f64, rest: f64 },
 }
 
-/// Trouble of a replay, each with its times, ms.
+/// Disruptions of a replay. Times are in ms.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Trouble {
-  /// From, to, and how many times the requests.
+  /// Start and end of a burst, and the factor on the request rate.
   pub burst: Option<(u64, u64, f64)>,
-  /// When so large a part of the servers is lost, and when they are back, empty.
+  /// When servers are lost, when they return without models in memory, and the fraction of servers
+  /// affected.
   pub lost: Option<(u64, u64, f64)>,
-  /// Time of an unload without runs, ms, where it is another one than is believed.
+  /// Duration of an unload without active runs, in ms, if it differs from the planner's estimate.
   pub unload_ms: Option<u64>,
-  /// One of so many unloads waits for runs that came while it was decided.
+  /// If set to n, an unload that is an n-th order waits for runs that started while it was decided.
   pub waits: Option<usize>,
-  /// When another holder takes over, and for how long nobody held the lease before.
+  /// When the lease is lost, and how long nobody holds it before another holder takes over.
   pub takeover: Option<(u64, u64)>,
 }
 
-/// What a replay showed.
+/// Results of a replay.
 #[derive(Clone, Debug, Default)]
 pub struct Outcome {
   /// Processor time of each step.
   pub steps: Vec<Duration>,
-  /// From a decision to load to the load's order, and from a model's first waiting request
-  /// to that decision, ms.
+  /// Time from the decision to load a model to its load order, and from the model's first waiting
+  /// request to that decision, in ms.
   pub ordered_ms: Vec<u64>,
   pub decided_ms: Vec<u64>,
-  /// Requests for rare models: all, sent in time for their objective, sent at all.
+  /// Number of requests for rare models: all, those sent within their objective, and those sent.
   pub requests: u32,
   pub in_time: u32,
   pub served: u32,
   pub orders: u32,
-  /// Requests for the popular model while it is in steady demand: all, those that ran, those
-  /// that servers declined as full.
+  /// Number of requests for the popular model during its steady demand: all, those that ran, and
+  /// those that full servers declined.
   pub popular: u32,
   pub popular_served: u32,
   pub popular_declined: u32,
-  /// Its loads and its unloads while it is in demand.
+  /// Number of its loads and unloads while it is in demand.
   pub popular_loads: u32,
   pub popular_unloads: u32,
-  /// Servers that hold it, at each second.
+  /// Number of servers that have it loaded, sampled every second.
   pub popular_holders: Vec<usize>,
-  /// Bytes of holdings published, as encoded, for one instance.
+  /// Encoded size of the published holdings for one instance, in bytes.
   pub published: usize,
   pub holdings: usize,
 }
 
-/// The value below which so many hundredths lie.
+/// The percentile of `values` at `hundredths`, or the default if there are no values.
 pub fn percentile<T: Copy + Ord + Default>(values: &[T], hundredths: usize) -> T {
   let mut sorted = values.to_vec();
   sorted.sort();
@@ -176,7 +178,7 @@
   busy_until: u64,
   loading: Option<String>,
   running: BTreeMap<String, u32>,
-  /// It has crashed and is not back.
+  /// Whether it has crashed and not returned yet.
   lost: bool,
 }
 
@@ -185,21 +187,21 @@
   arrived: u64,
 }
 
-/// Something that comes about later.
+/// A scheduled event.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Later {
+enum Event {
   Order(usize),
-  Ask(String),
+  Query(String),
   Update(usize),
-  /// A run of a model at a server ends, for an instance.
+  /// A run ends: server, model and index of the instance.
   RunEnds(String, String, usize),
 }
 
-/// A replay under way.
+/// A running replay.
 pub struct Replay {
   plan: Plan,
   size: Size,
-  trouble: Trouble,
+  disruptions: Trouble,
   deployment: Arc<Deployment>,
   term: u64,
   holder: Holder,
@@ -208,25 +210,26 @@
   servers: BTreeMap<String, Server>,
   names: Vec<String>,
   waiting: Vec<Vec<Waiting>>,
-  /// Runs of each instance, by server and model.
+  /// Number of active runs of each instance, by server and model.
   runs: Vec<BTreeMap<(String, String), u32>>,
-  /// Models that each instance's requests found answered since its last report.
+  /// Number of requests per model that each instance counted since its last report.
   seen: Vec<BTreeMap<String, u32>>,
-  /// Servers that hold a model, as last published.
+  /// Servers by model, as last published.
   known: HashMap<String, BTreeSet<String>>,
   holdings: HashMap<String, BTreeSet<String>>,
-  later: BinaryHeap<Reverse<(u64, u64, Later)>>,
+  events: BinaryHeap<Reverse<(u64, u64, Event)>>,
   count: u64,
   commands: Vec<Command>,
   updates: Vec<Publication>,
   next_request: f64,
   next_popular: f64,
-  /// Parts of their objectives that requests for the popular model spent at servers, by instance.
+  /// By instance: number of requests for the popular model, and the sum of the fractions of their
+  /// objectives that they spent at servers.
   slowness: Vec<(u32, f32)>,
-  free_at: u64,
-  due: u64,
-  decided: HashMap<String, u64>,
-  first_wait: HashMap<String, u64>,
+  holder_free_at: u64,
+  step_due_at: u64,
+  decided_at: HashMap<String, u64>,
+  waiting_since: HashMap<String, u64>,
   pub outcome: Outcome,
 }
 
@@ -252,7 +255,7 @@
   let engine = Engine {
     slots: SLOTS,
     kv_tokens: 69_467,
-    memory_mb: MODEL_MB * PLACES as u64 + 20,
+    memory_mb: MODEL_MB * MODELS_PER_SERVER as u64 + 20,
     adapter_slots: 8,
     loads_per_s: 98.0,
     models: names.map(|name| (name, checkpoint.clone())).collect(),
@@ -268,7 +271,8 @@
 }
 
 impl Replay {
-  /// A fleet whose servers hold some models, with copies of all on their disks.
+  /// Creates a fleet whose servers have some models loaded and copies of the rare and popular models
+  /// on their disks.
   pub fn open(size: Size, holder: Holder, seed: u64) -> Self {
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut servers: Vec<Server> = (0..size.servers).map(server).collect();
@@ -278,10 +282,10 @@
     }
     for number in 0..size.rare {
       for _ in 0..COPIES {
-        let place = rng.random_range(0..size.servers);
-        servers[place].spec.on_disk.push(rare(number));
-        if servers[place].held.len() < PLACES {
-          servers[place].held.insert(rare(number));
+        let index = rng.random_range(0..size.servers);
+        servers[index].spec.on_disk.push(rare(number));
+        if servers[index].held.len() < MODELS_PER_SERVER {
+          servers[index].held.insert(rare(number));
         }
       }
     }
@@ -302,7 +306,7 @@
     let mut replay = Self {
       plan: Plan::new("10.0.0.1", 0, 5_000, 1.0),
       size,
-      trouble: Trouble::default(),
+      disruptions: Trouble::default(),
       deployment: Arc::new(deployment(&size)),
       term: 0,
       holder,
@@ -314,7 +318,7 @@
       seen: (0..size.instances).map(|_| BTreeMap::new()).collect(),
       known: HashMap::new(),
       holdings: HashMap::new(),
-      later: BinaryHeap::new(),
+      events: BinaryHeap::new(),
       count: 0,
       commands: Vec::new(),
       updates: Vec::new(),
@@ -323,10 +327,10 @@
         .popular
         .map_or(f64::INFINITY, |popular| popular.from as f64),
       slowness: vec![(0, 0.0); size.instances],
-      free_at: 0,
-      due: 0,
-      decided: HashMap::new(),
-      first_wait: HashMap::new(),
+      holder_free_at: 0,
+      step_due_at: 0,
+      decided_at: HashMap::new(),
+      waiting_since: HashMap::new(),
       servers: servers
         .into_iter()
         .map(|server| (server.spec.id.clone(), server))
@@ -338,30 +342,30 @@
     replay
   }
 
-  /// The same with trouble.
-  pub fn with(mut self, trouble: Trouble) -> Self {
-    self.trouble = trouble;
+  /// Adds disruptions to the replay.
+  pub fn with(mut self, disruptions: Trouble) -> Self {
+    self.disruptions = disruptions;
     self
   }
 
-  /// A holder begins, and knows nothing.
+  /// A new lease holder starts with an empty state.
   fn take_over(&mut self) {
     self.term += 1;
     self.plan = Plan::new("10.0.0.1", 0, 5_000, 1.0);
     self.plan.start_term(self.now, self.term);
-    self.list();
+    self.update_servers();
   }
 
-  /// The holder reads the entries of the servers that are there.
-  fn list(&mut self) {
-    let there = self.servers.values().filter(|server| !server.lost);
-    let specs = there.map(|server| server.spec.clone()).collect();
+  /// Passes the specs of all available servers to the planner.
+  fn update_servers(&mut self) {
+    let available = self.servers.values().filter(|server| !server.lost);
+    let specs = available.map(|server| server.spec.clone()).collect();
     self.plan.update_servers(self.deployment.clone(), specs);
-    self.due = 0;
+    self.step_due_at = 0;
   }
 
-  fn strike(&mut self) {
-    if let Some((at, back, part)) = self.trouble.lost {
+  fn apply_disruptions(&mut self) {
+    if let Some((at, back, part)) = self.disruptions.lost {
       let count = (self.size.servers as f64 * part) as usize;
       if self.now == at || self.now == back {
         let lost = self.now == at;
@@ -373,12 +377,12 @@
             server.crash(lost, born);
           }
         }
-        self.list();
+        self.update_servers();
       }
     }
-    if let Some((at, gap)) = self.trouble.takeover {
+    if let Some((at, gap)) = self.disruptions.takeover {
       if self.now == at {
-        self.free_at = self.now + gap;
+        self.holder_free_at = self.now + gap;
       }
       if self.now == at + gap {
         self.take_over();
@@ -386,7 +390,7 @@
     }
   }
 
-  /// Requests for common models run all the time.
+  /// Starts runs for common models that never end.
   fn run_common(&mut self) {
     let mut instance = 0;
     for (id, server) in &mut self.servers {
@@ -401,7 +405,7 @@
     }
   }
 
-  /// Plays all of it.
+  /// Runs the replay to its end.
   pub fn play(mut self) -> Outcome {
     while self.now < self.size.ms {
       self.tick();
@@ -409,18 +413,18 @@
     self.outcome
   }
 
-  /// One millisecond.
+  /// Advances the replay by one millisecond.
   pub fn tick(&mut self) {
     self.now += 1;
-    self.strike();
-    self.arrive();
-    self.arrive_popular();
+    self.apply_disruptions();
+    self.add_arrivals();
+    self.add_popular_arrivals();
     self.count_holders();
-    while let Some(Reverse((at, _, _))) = self.later.peek()
+    while let Some(Reverse((at, _, _))) = self.events.peek()
       && *at <= self.now
     {
-      if let Some(Reverse((_, _, later))) = self.later.pop() {
-        self.come(later);
+      if let Some(Reverse((_, _, event))) = self.events.pop() {
+        self.handle_event(event);
       }
     }
     for instance in 0..self.size.instances {
@@ -428,22 +432,22 @@
         self.report(instance);
       }
     }
-    if self.now >= self.due.max(self.free_at) {
+    if self.now >= self.step_due_at.max(self.holder_free_at) {
       self.step();
     }
   }
 
-  fn later(&mut self, ms: u64, later: Later) {
+  fn schedule(&mut self, delay_ms: u64, event: Event) {
     self.count += 1;
-    let entry = (self.now + ms, self.count, later);
-    self.later.push(Reverse(entry));
+    let entry = (self.now + delay_ms, self.count, event);
+    self.events.push(Reverse(entry));
   }
 
-  fn arrive(&mut self) {
+  fn add_arrivals(&mut self) {
     while self.next_request <= self.now as f64 {
       let pause: f64 = self.rng.random_range(0.0..2.0);
       let now = self.now;
-      let burst = self.trouble.burst;
+      let burst = self.disruptions.burst;
       let burst = burst.filter(|(from, to, _)| (*from..*to).contains(&now));
       let rate = self.size.rare_per_s * burst.map_or(1.0, |(_, _, times)| times);
       self.next_request += pause * 1_000.0 / rate;
@@ -455,7 +459,7 @@
         arrived: self.now,
       };
       if !self.send(instance, &waiting) {
-        let since = self.first_wait.entry(waiting.model.clone());
+        let since = self.waiting_since.entry(waiting.model.clone());
         since.or_insert(self.now);
         self.waiting[instance].push(waiting);
         self.report(instance);
@@ -463,7 +467,7 @@
     }
   }
 
-  fn arrive_popular(&mut self) {
+  fn add_popular_arrivals(&mut self) {
     let Some(popular) = self.size.popular else {
       return;
     };
@@ -471,7 +475,7 @@
       let pause: f64 = self.rng.random_range(0.0..2.0);
       self.next_popular += pause * 1_000.0 / popular.per_s;
       let instance = self.rng.random_range(0..self.size.instances);
-      // Replicas take some seconds to come.
+      // Replicas take several seconds to load.
       let steady = self.now >= popular.from + (popular.to - popular.from) / 2;
       let ran = self.send_popular(instance);
       if steady {
@@ -482,33 +486,34 @@
     }
   }
 
-  /// Sends a request for the popular model to the less busy of two servers; whether it ran,
-  /// where the server held the model.
+  /// Sends a request for the popular model to the less busy of two random servers. Returns whether
+  /// it ran, or `None` if no server was found or the server does not have the model.
   fn send_popular(&mut self, instance: usize) -> Option<bool> {
     let holders: Vec<String> = self.known.get(POPULAR)?.iter().cloned().collect();
-    let mut drawn = || holders.get(self.rng.random_range(0..holders.len().max(1)));
-    let (one, other) = (drawn()?, drawn()?);
-    let id = match self.servers[one].busy() <= self.servers[other].busy() {
-      true => one,
-      false => other,
+    let mut random_holder = || holders.get(self.rng.random_range(0..holders.len().max(1)));
+    let (first, second) = (random_holder()?, random_holder()?);
+    let id = match self.servers[first].active_requests() <= self.servers[second].active_requests() {
+      true => first,
+      false => second,
     };
-    let server = self.servers.get_mut(id).expect("a server");
-    server.finish(self.now);
+    let server = self.servers.get_mut(id).expect("server id is known");
+    server.finish_load(self.now);
     if server.lost || !server.held.contains(POPULAR) {
       return None;
     }
     let (requests, slowness) = &mut self.slowness[instance];
     *requests += 1;
-    if server.busy() >= SLOTS {
+    if server.active_requests() >= SLOTS {
       *slowness += 1.0;
       return Some(false);
     }
-    *slowness += QUICK + CROWDED * server.busy() as f32 / SLOTS as f32;
+    *slowness +=
+      FREE_SLOTS_SLOWNESS + FULL_SLOTS_SLOWNESS * server.active_requests() as f32 / SLOTS as f32;
     *server.running.entry(POPULAR.into()).or_default() += 1;
     let run = (id.clone(), POPULAR.to_string());
     *self.runs[instance].entry(run).or_default() += 1;
-    let ends = Later::RunEnds(id.clone(), POPULAR.into(), instance);
-    self.later(RUN_MS, ends);
+    let ends = Event::RunEnds(id.clone(), POPULAR.into(), instance);
+    self.schedule(RUN_MS, ends);
     Some(true)
   }
 
@@ -520,14 +525,14 @@
     }
   }
 
-  /// Sends a request where its model is known to be; whether it ran.
+  /// Sends a request to a server that is known to have its model. Returns whether it ran.
   fn send(&mut self, instance: usize, waiting: &Waiting) -> bool {
     let holders = self.known.get(&waiting.model);
     let Some(id) = holders.and_then(|holders| holders.first()).cloned() else {
       return false;
     };
-    let server = self.servers.get_mut(&id).expect("a server");
-    server.finish(self.now);
+    let server = self.servers.get_mut(&id).expect("server id is known");
+    server.finish_load(self.now);
     if server.lost || !server.held.contains(&waiting.model) {
       return false;
     }
@@ -538,49 +543,52 @@
       .entry(waiting.model.clone())
       .or_default() += 1;
     self.outcome.served += 1;
-    let took = self.now - waiting.arrived;
-    self.outcome.in_time += u32::from(took <= u64::from(OBJECTIVE_MS));
-    self.first_wait.remove(&waiting.model);
-    let ends = Later::RunEnds(id, waiting.model.clone(), instance);
-    self.later(RUN_MS, ends);
+    let elapsed = self.now - waiting.arrived;
+    self.outcome.in_time += u32::from(elapsed <= u64::from(OBJECTIVE_MS));
+    self.waiting_since.remove(&waiting.model);
+    let ends = Event::RunEnds(id, waiting.model.clone(), instance);
+    self.schedule(RUN_MS, ends);
     true
   }
 
-  fn come(&mut self, later: Later) {
-    match later {
-      Later::Order(number) => {
+  fn handle_event(&mut self, event: Event) {
+    match event {
+      Event::Order(number) => {
         let command = self.commands[number].clone();
-        let server = self.servers.get_mut(&command.id).expect("a server");
-        let waits = self.trouble.waits;
+        let server = self
+          .servers
+          .get_mut(&command.id)
+          .expect("server id is known");
+        let waits = self.disruptions.waits;
         let waits = waits.is_some_and(|waits| number.is_multiple_of(waits));
         let unload_ms = match waits {
           true => RUN_MS,
-          false => self.trouble.unload_ms.unwrap_or(UNLOAD_MS),
+          false => self.disruptions.unload_ms.unwrap_or(UNLOAD_MS),
         };
-        let taken = server.carry_out(self.now, &command, unload_ms);
+        let taken = server.execute(self.now, &command, unload_ms);
         self.plan.record_order_result(self.now, &command, taken);
-        self.due = 0;
+        self.step_due_at = 0;
       }
-      Later::Ask(id) => {
-        let server = self.servers.get_mut(&id).expect("a server");
+      Event::Query(id) => {
+        let server = self.servers.get_mut(&id).expect("server id is known");
         let inventory = match server.lost {
           true => Err(Unheard::Ended),
           false => Ok(server.report(self.now)),
         };
         self.plan.receive_inventory(self.now, &id, inventory);
-        self.due = 0;
+        self.step_due_at = 0;
       }
-      Later::Update(number) => self.take_update(number),
-      Later::RunEnds(id, model, instance) => {
-        let server = self.servers.get_mut(&id).expect("a server");
-        end(&mut server.running, model.clone());
-        end(&mut self.runs[instance], (id, model));
+      Event::Update(number) => self.apply_update(number),
+      Event::RunEnds(id, model, instance) => {
+        let server = self.servers.get_mut(&id).expect("server id is known");
+        end_run(&mut server.running, model.clone());
+        end_run(&mut self.runs[instance], (id, model));
       }
     }
   }
 
-  fn take_update(&mut self, number: usize) {
-    let update = std::mem::replace(&mut self.updates[number], nothing());
+  fn apply_update(&mut self, number: usize) {
+    let update = std::mem::replace(&mut self.updates[number], empty_publication());
     for (_, holding) in update.holdings {
       let usable = holding.models.keys().cloned();
       let usable: BTreeSet<String> = usable
@@ -591,16 +599,16 @@
     for instance in 0..self.size.instances {
       let waiting = std::mem::take(&mut self.waiting[instance]);
       for request in waiting {
-        // A caller leaves when its patience is over.
-        let late = self.now > request.arrived + u64::from(PATIENCE_MS);
-        if !late && !self.send(instance, &request) {
+        // A caller gives up when its patience has run out.
+        let expired = self.now > request.arrived + u64::from(PATIENCE_MS);
+        if !expired && !self.send(instance, &request) {
           self.waiting[instance].push(request);
         }
       }
     }
   }
 
-  /// All instances know what a server holds.
+  /// Publishes the usable models of a server to all instances.
   fn publish_holding(&mut self, id: &str, usable: BTreeSet<String>) {
     let before = self.holdings.insert(id.into(), usable.clone());
     for gone in before.unwrap_or_default().difference(&usable) {
@@ -633,8 +641,8 @@
         .aged(age),
       );
     }
-    let often = common(self.rng.random_range(0..COMMON));
-    *self.seen[instance].entry(often).or_default() += 1;
+    let common_model = common(self.rng.random_range(0..COMMON));
+    *self.seen[instance].entry(common_model).or_default() += 1;
     let seen = std::mem::take(&mut self.seen[instance]).into_iter();
     let strain = seen.map(|(model, requests)| Sample {
       pool: "pool".into(),
@@ -669,22 +677,22 @@
     };
     let address = SocketAddr::from(([10, 1, (instance >> 8) as u8, instance as u8], 7_000));
     self.plan.receive_report(now, address, report);
-    self.due = 0;
+    self.step_due_at = 0;
   }
 
   fn step(&mut self) {
-    let began = processor_time();
+    let started = processor_time();
     let effects = self.plan.step(self.now);
-    let took = processor_time().saturating_sub(began);
-    self.outcome.steps.push(took);
+    let elapsed = processor_time().saturating_sub(started);
+    self.outcome.steps.push(elapsed);
     if let Holder::Paced { cores, rest } = self.holder {
-      let ms = took.as_secs_f64() * 1_000.0 / cores * (1.0 + rest);
-      self.free_at = self.now + ms as u64;
+      let ms = elapsed.as_secs_f64() * 1_000.0 / cores * (1.0 + rest);
+      self.holder_free_at = self.now + ms as u64;
     }
     for effect in effects {
       self.effect(effect);
     }
-    self.due = self.plan.next_step_at(self.now);
+    self.step_due_at = self.plan.next_step_at(self.now);
   }
 
   fn effect(&mut self, effect: Effect) {
@@ -697,15 +705,15 @@
           self.outcome.popular_unloads += u32::from(command.act == Act::Unload);
         }
         if command.act == Act::Load
-          && let Some(at) = self.decided.remove(&command.model.name)
+          && let Some(at) = self.decided_at.remove(&command.model.name)
         {
           self.outcome.ordered_ms.push(self.now - at);
         }
         self.commands.push(command);
         let number = self.commands.len() - 1;
-        self.later(ORDER_MS, Later::Order(number));
+        self.schedule(ORDER_MS, Event::Order(number));
       }
-      Effect::Query { id, .. } => self.later(ORDER_MS, Later::Ask(id)),
+      Effect::Query { id, .. } => self.schedule(ORDER_MS, Event::Query(id)),
       Effect::Publish(update) => {
         self.outcome.holdings += update.holdings.len();
         self.updates.push(update);
@@ -714,30 +722,30 @@
           .size
           .popular
           .map_or(UPDATE_MS, |popular| popular.update_ms);
-        self.later(update_ms, Later::Update(number));
+        self.schedule(update_ms, Event::Update(number));
       }
       Effect::Log {
         what: "load",
         model,
         ..
       } => {
-        if let Some(since) = self.first_wait.get(&model) {
+        if let Some(since) = self.waiting_since.get(&model) {
           self.outcome.decided_ms.push(self.now - since);
         }
-        self.decided.insert(model, self.now);
+        self.decided_at.insert(model, self.now);
       }
       Effect::Log { .. } => {}
     }
   }
 }
 
-/// Processor time of this thread: a wall clock counts what other processes take.
+/// Processor time of this thread. Wall time would include the time of other processes.
 fn processor_time() -> Duration {
   let time = clock_gettime(ClockId::ThreadCPUTime);
   Duration::new(time.tv_sec as u64, time.tv_nsec as u32)
 }
 
-fn nothing() -> Publication {
+fn empty_publication() -> Publication {
   Publication {
     to: None,
     since: 0,
@@ -747,7 +755,7 @@
   }
 }
 
-fn end<K: Ord>(runs: &mut BTreeMap<K, u32>, run: K) {
+fn end_run<K: Ord>(runs: &mut BTreeMap<K, u32>, run: K) {
   if let Some(count) = runs.get_mut(&run) {
     *count -= 1;
     if *count == 0 {
@@ -781,7 +789,7 @@
 }
 
 impl Server {
-  /// It crashes, or is back, with nothing but its disk.
+  /// Crashes or restarts the server. Only the models on its disk remain.
   fn crash(&mut self, lost: bool, born: u64) {
     self.lost = lost;
     self.held.clear();
@@ -793,12 +801,12 @@
     self.spec.born = born;
   }
 
-  /// Requests that it runs.
-  fn busy(&self) -> u32 {
+  /// Number of running requests.
+  fn active_requests(&self) -> u32 {
     self.running.values().sum()
   }
 
-  fn finish(&mut self, now: u64) {
+  fn finish_load(&mut self, now: u64) {
     if now >= self.busy_until
       && let Some(model) = self.loading.take()
     {
@@ -806,11 +814,11 @@
     }
   }
 
-  fn carry_out(&mut self, now: u64, command: &Command, unload_ms: u64) -> Taken {
+  fn execute(&mut self, now: u64, command: &Command, unload_ms: u64) -> Taken {
     if self.lost {
       return Taken::NotSent;
     }
-    self.finish(now);
+    self.finish_load(now);
     if now < self.busy_until || command.born != self.spec.born || command.orders != self.orders {
       return Taken::Conflict;
     }
@@ -818,8 +826,8 @@
     let name = command.model.name.clone();
     match command.act {
       Act::Load => {
-        let near = self.spec.on_disk.contains(&name);
-        self.busy_until = now + if near { DISK_MS } else { REMOTE_MS };
+        let on_disk = self.spec.on_disk.contains(&name);
+        self.busy_until = now + if on_disk { DISK_MS } else { REMOTE_MS };
         self.loading = Some(name);
       }
       Act::Unload => {
@@ -832,7 +840,7 @@
   }
 
   fn report(&mut self, now: u64) -> Inventory {
-    self.finish(now);
+    self.finish_load(now);
     let held = self.held.iter();
     Inventory {
       born: self.spec.born,
--- a/stand-ins/src/service.rs
+++ b/stand-ins/src/service.rs
@@ -1,4 +1,4 @@
-//! A plain service that records how often each call ran.
+//! A plain HTTP service that counts the runs of each call.
 
 use crate::http;
 use serde_json::json;
@@ -11,7 +11,7 @@
   time::Duration,
 };
 
-/// Runs by body.
+/// Number of runs by request body.
 type Runs = Arc<Mutex<BTreeMap<String, u32>>>;
 
 /// A running plain service.
@@ -22,7 +22,7 @@
 }
 
 impl Service {
-  /// Binds a service whose calls take `time`.
+  /// Binds a service whose calls take `time`. Each response holds the body and its run count.
   pub fn bind(address: &str, time: Duration) -> io::Result<Self> {
     let runs: Runs = Arc::default();
     let counted = runs.clone();
@@ -40,13 +40,13 @@
     Ok(Self { runs, address })
   }
 
-  /// How often the call with this body ran.
+  /// Number of runs of the call with this body.
   pub fn runs(&self, body: &str) -> u32 {
     let runs = self.runs.lock().unwrap_or_else(PoisonError::into_inner);
     runs.get(body).copied().unwrap_or_default()
   }
 
-  /// All runs.
+  /// Number of runs of every call, by request body.
   pub fn all(&self) -> BTreeMap<String, u32> {
     let runs = self.runs.lock().unwrap_or_else(PoisonError::into_inner);
     runs.clone()
--- a/stand-ins/src/store.rs
+++ b/stand-ins/src/store.rs
@@ -1,4 +1,4 @@
-//! The weight store: a few loads at full speed, a few new ones a second.
+//! A weight store that limits the loads at full speed and the loads started per second.
 
 use std::{
   sync::{Arc, Condvar, Mutex, PoisonError},
@@ -10,7 +10,7 @@
 struct Inner {
   running: u32,
   starts: Vec<Instant>,
-  /// Factor on the time of each load.
+  /// Factor by which each load takes longer.
   slowness: f64,
   loads: u64,
 }
@@ -19,16 +19,16 @@
 #[derive(Clone, Debug)]
 pub struct Store {
   inner: Arc<(Mutex<Inner>, Condvar)>,
-  /// Loads that begin in a second.
+  /// Maximum number of loads started per second.
   rate: u32,
-  /// Loads at once at full speed; more share it.
+  /// Maximum number of concurrent loads at full speed; more loads share that bandwidth.
   full: u32,
-  /// Time scale: 1 is real time, 0.1 ten times faster.
+  /// Time scale: 1 is real time, 0.1 is ten times faster.
   scale: f64,
 }
 
 impl Store {
-  /// A store that begins `rate` loads a second and runs `full` at full speed.
+  /// Creates a store that starts `rate` loads per second and runs `full` of them at full speed.
   pub fn open(rate: u32, full: u32, scale: f64) -> Self {
     let inner = Inner {
       running: 0,
@@ -44,34 +44,34 @@
     }
   }
 
-  /// Makes every load slower by a factor.
+  /// Sets the factor by which each load takes longer.
   pub fn slow(&self, factor: f64) {
     let mut inner = self.inner.0.lock().unwrap_or_else(PoisonError::into_inner);
     inner.slowness = factor;
   }
 
-  /// Loads begun.
+  /// Number of loads started.
   pub fn loads(&self) -> u64 {
     let inner = self.inner.0.lock().unwrap_or_else(PoisonError::into_inner);
     inner.loads
   }
 
-  /// Loads for as long as the store takes for `full_speed` worth of work.
+  /// Blocks for the duration of a load that takes `full_speed` when the store is not shared.
   pub fn load(&self, full_speed: Duration) {
-    self.begin();
-    let mut left = full_speed.as_secs_f64();
+    self.start_load();
+    let mut remaining = full_speed.as_secs_f64();
     let step = 0.02 * self.scale.clamp(0.05, 1.0);
-    while left > 0.0 {
+    while remaining > 0.0 {
       thread::sleep(Duration::from_secs_f64(step));
       let inner = self.inner.0.lock().unwrap_or_else(PoisonError::into_inner);
       let sharing = (f64::from(inner.running) / f64::from(self.full)).max(1.0);
-      left -= step / sharing / inner.slowness;
+      remaining -= step / sharing / inner.slowness;
     }
     let mut inner = self.inner.0.lock().unwrap_or_else(PoisonError::into_inner);
     inner.running -= 1;
   }
 
-  fn begin(&self) {
+  fn start_load(&self) {
     let second = Duration::from_secs_f64(self.scale);
     loop {
       let mut inner = self.inner.0.lock().unwrap_or_else(PoisonError::into_inner);
--- a/stand-ins/src/trace.rs
+++ b/stand-ins/src/trace.rs
@@ -1,5 +1,5 @@
-//! Seeded traces of a compressed day, replayed against real instances for named
-//! policies, paired by trace and seed.
+//! Replays seeded traces of a compressed day against real instances. Named policies are compared
+//! on the same trace and seed.
 
 use crate::{
   caller::{self, Answer, Request},
@@ -17,30 +17,31 @@
   time::{Duration, Instant},
 };
 
-/// Models, backend servers and their memory: room for half of the models.
+/// Numbers of models and backend servers, and sizes in MB. The servers have memory for half of
+/// the models.
 const MODELS: usize = 24;
 const SERVERS: usize = 4;
 const SERVER_MB: u64 = 600;
 const MODEL_MB: u64 = 200;
-/// One second of a trace stands for this many of a day.
+/// Number of seconds of a day that one second of a trace represents.
 pub const COMPRESSION: u64 = 60;
-/// Length of each part of the day.
+/// Length of each of the four parts of the day.
 const PART: Duration = Duration::from_secs(8);
 const TOKENS: u32 = 6;
 
-/// One request of a trace.
+/// A request of a trace.
 #[derive(Clone, Debug)]
 struct Arrival {
   at: Duration,
   model: usize,
   prompt: String,
-  /// Which instance it reaches.
+  /// Index of the instance that receives the request.
   instance: usize,
 }
 
-/// What happens besides requests.
+/// An event of a trace other than a request.
 #[derive(Clone, Copy, Debug)]
-enum Happening {
+enum Event {
   SlowStore(f64),
   LoseServer(usize),
 }
@@ -52,27 +53,27 @@
   pub limits: Value,
 }
 
-/// What one replay gave.
+/// Results of one or more replays.
 #[derive(Clone, Debug, Default)]
 pub struct Outcome {
-  /// Waits of requests that needed a load, seconds.
+  /// Waiting times of requests that needed a load, in seconds.
   pub cold: Vec<f64>,
-  /// Time to first token of every request, seconds.
+  /// Time to first token of every completed request, in seconds.
   pub first: Vec<f64>,
-  /// Idle time of loaded replicas, seconds.
+  /// Idle time of loaded replicas, in seconds.
   pub idle: f64,
   pub loads: u64,
   pub asked: usize,
   pub refused: usize,
-  /// Answers that were neither whole nor truly refused.
+  /// Number of responses that were neither complete nor properly refused.
   pub broken: usize,
   pub violations: usize,
-  /// Most requests waiting in the engines at once.
+  /// Maximum number of requests waiting in an engine at the same time.
   pub crowd: u32,
 }
 
 impl Outcome {
-  /// Adds another replay's figures.
+  /// Adds the results of another replay.
   pub fn add(&mut self, other: Self) {
     self.cold.extend(other.cold);
     self.first.extend(other.first);
@@ -86,7 +87,7 @@
   }
 }
 
-/// The policies that can be named.
+/// The policies that can be selected by name.
 pub fn variants() -> Vec<Variant> {
   let variant = |name, policy| Variant {
     name,
@@ -122,9 +123,14 @@
   ]
 }
 
-/// Requests of a model that is used now and then: gaps with a heavy tail.
-fn quiet(rng: &mut SmallRng, model: usize, until: Duration, instances: usize) -> Vec<Arrival> {
-  // Few models are used often, most rarely.
+/// Requests for an occasionally used model, with heavy-tailed gaps.
+fn occasional_arrivals(
+  rng: &mut SmallRng,
+  model: usize,
+  until: Duration,
+  instances: usize,
+) -> Vec<Arrival> {
+  // A few models are used often, most of them rarely.
   let mean = 0.4 + 0.5 * model as f64;
   let mut at = rng.random_range(0.0..mean);
   let mut arrivals = Vec::new();
@@ -147,8 +153,8 @@
   }
 }
 
-/// The evening: bursts for cold models at all instances at once.
-fn evening(rng: &mut SmallRng, from: Duration, instances: usize) -> Vec<Arrival> {
+/// Requests of the evening: bursts for cold models, each across all instances at the same time.
+fn evening_arrivals(rng: &mut SmallRng, from: Duration, instances: usize) -> Vec<Arrival> {
   let mut arrivals = Vec::new();
   for burst in 0..6 {
     let model = rng.random_range(0..MODELS);
@@ -161,25 +167,25 @@
   arrivals
 }
 
-fn trace(seed: u64, instances: usize) -> (Vec<Arrival>, Vec<(Duration, Happening)>) {
+fn trace(seed: u64, instances: usize) -> (Vec<Arrival>, Vec<(Duration, Event)>) {
   let mut rng = SmallRng::seed_from_u64(seed);
   let day = PART * 4;
   let mut arrivals = Vec::new();
   for model in 0..MODELS {
-    arrivals.extend(quiet(&mut rng, model, day, instances));
+    arrivals.extend(occasional_arrivals(&mut rng, model, day, instances));
   }
-  arrivals.extend(evening(&mut rng, PART, instances));
+  arrivals.extend(evening_arrivals(&mut rng, PART, instances));
   arrivals.sort_by_key(|arrival| arrival.at);
   let lost = rng.random_range(0..SERVERS);
-  let happenings = vec![
-    (PART * 2, Happening::SlowStore(3.0)),
-    (PART * 3, Happening::SlowStore(1.0)),
-    (PART * 3 + PART / 4, Happening::LoseServer(lost)),
+  let events = vec![
+    (PART * 2, Event::SlowStore(3.0)),
+    (PART * 3, Event::SlowStore(1.0)),
+    (PART * 3 + PART / 4, Event::LoseServer(lost)),
   ];
-  (arrivals, happenings)
+  (arrivals, events)
 }
 
-/// Replays the trace of a seed for a variant, with instances of this program.
+/// Replays the trace of a seed for a variant, with instances of `program`.
 pub fn replay(
   program: &Path,
   variant: &Variant,
@@ -187,15 +193,15 @@
   instances: usize,
 ) -> io::Result<Outcome> {
   let fleet = deploy(program, variant, seed, instances)?;
-  let (arrivals, happenings) = trace(seed, instances);
+  let (arrivals, events) = trace(seed, instances);
   let start = Instant::now();
   let store = fleet.engines[0].options().store.clone();
-  let mut happenings = happenings.into_iter().peekable();
+  let mut events = events.into_iter().peekable();
   let mut threads = Vec::new();
   for arrival in arrivals {
-    while let Some((at, happening)) = happenings.next_if(|(at, _)| *at <= arrival.at) {
+    while let Some((at, event)) = events.next_if(|(at, _)| *at <= arrival.at) {
       sleep_until(start + at);
-      happen(&fleet, store.as_ref(), happening);
+      apply(&fleet, store.as_ref(), event);
     }
     sleep_until(start + arrival.at);
     let address = fleet.callers(arrival.instance).to_string();
@@ -204,12 +210,12 @@
       let model = format!("model-{}", arrival.model);
       let ask = Request::of(&model, &arrival.prompt, TOKENS).with_deadline(Duration::from_secs(15));
       let reply = ask.send(&address);
-      let whole = reply.matches(&answer(&arrival.prompt, TOKENS as usize));
-      (whole, reply)
+      let complete = reply.matches(&answer(&arrival.prompt, TOKENS as usize));
+      (complete, reply)
     })?);
   }
   let replies: Vec<(bool, Answer)> = threads.into_iter().filter_map(|t| t.join().ok()).collect();
-  Ok(sum_up(&fleet, &replies))
+  Ok(summarize(&fleet, &replies))
 }
 
 fn sleep_until(at: Instant) {
@@ -218,8 +224,8 @@
 
 fn deploy(program: &Path, variant: &Variant, seed: u64, instances: usize) -> io::Result<Fleet> {
   let mut rng = SmallRng::seed_from_u64(seed ^ 0x5eed);
-  // Three loads a second of the day's time would be far slower here; the rate is
-  // scaled with the load times, the bound on loads at full speed is not.
+  // Three loads per second of the day would be far slower here. The rate is scaled with the
+  // load times; the limit on loads at full speed is not.
   let store = Store::open(3, 4, 0.2);
   let mut cached = Vec::new();
   for _ in 0..SERVERS {
@@ -267,15 +273,15 @@
   base
 }
 
-fn happen(fleet: &Fleet, store: Option<&Store>, happening: Happening) {
-  match (happening, store) {
-    (Happening::SlowStore(factor), Some(store)) => store.slow(factor),
-    (Happening::SlowStore(_), None) => {}
-    (Happening::LoseServer(at), _) => fleet.engines[at].restart(),
+fn apply(fleet: &Fleet, store: Option<&Store>, event: Event) {
+  match (event, store) {
+    (Event::SlowStore(factor), Some(store)) => store.slow(factor),
+    (Event::SlowStore(_), None) => {}
+    (Event::LoseServer(at), _) => fleet.engines[at].restart(),
   }
 }
 
-fn sum_up(fleet: &Fleet, replies: &[(bool, Answer)]) -> Outcome {
+fn summarize(fleet: &Fleet, replies: &[(bool, Answer)]) -> Outcome {
   let mut outcome = Outcome {
     asked: replies.len(),
     idle: fleet
@@ -293,8 +299,8 @@
       .unwrap_or_default(),
     ..Outcome::default()
   };
-  for (whole, reply) in replies {
-    match (whole, reply.verdict.as_str()) {
+  for (complete, reply) in replies {
+    match (complete, reply.verdict.as_str()) {
       (true, _) => outcome.first.push(reply.time_to_first_token.as_secs_f64()),
       (false, "") => outcome.broken += 1,
       (false, _) => outcome.refused += 1,
@@ -312,11 +318,11 @@
   outcome
 }
 
-/// The head of the table of outcomes.
+/// Header of the table of outcomes.
 pub const HEAD: &str = "| policy | requests | cold | cold p50 s | cold p95 s | cold p99 s | first p99 s | idle s | loads | refused | broken | violations | crowd |
 |---|---|---|---|---|---|---|---|---|---|---|---|---|";
 
-/// One row of the table.
+/// Formats an outcome as a row of the table.
 pub fn row(name: &str, outcome: &Outcome) -> String {
   let cold = |part| quantile(&outcome.cold, part);
   format!(
