--- a/soak/src/world/faults.rs
+++ b/soak/src/world/faults.rs
@@ -74,10 +74,10 @@
 pub(super) fn cut_temporarily(proxy: &Proxy, cut: Cut, duration: Duration) {
   match cut {
     Cut::Refuse => proxy.fault(ProxyFault::Refuse),
-    Cut::Silent => proxy.hold(true, true),
-    Cut::OneWay => proxy.hold(false, true),
+    Cut::Silent => proxy.pause(true, true),
+    Cut::OneWay => proxy.pause(false, true),
   }
   thread::sleep(duration);
-  proxy.hold(false, false);
+  proxy.pause(false, false);
   proxy.fault(ProxyFault::None);
 }
--- a/soak/src/world/mod.rs
+++ b/soak/src/world/mod.rs
@@ -134,7 +134,7 @@
       lock(&member.instance).wait_ready();
     }
     if let (Some(Break::Deaf), Some(member)) = (self.switch, self.members.first()) {
-      member.proxy.hold(true, true);
+      member.proxy.pause(true, true);
     }
   }
 }
--- a/soak/src/world/slot.rs
+++ b/soak/src/world/slot.rs
@@ -153,7 +153,7 @@
     thread::sleep(SERVES_AFTER_REMOVAL * 2);
     self.remove_entry(&runner.id);
     runner.kill();
-    slot.proxy.cut();
+    slot.proxy.close_connections();
     self.replace(slot, runner);
   }
 
--- a/stand-ins/src/proxy.rs
+++ b/stand-ins/src/proxy.rs
@@ -86,7 +86,7 @@
     self.inner.remaining.store(u64::MAX, Ordering::SeqCst);
     *lock(&self.inner.fault) = fault;
     if fault == Fault::Refuse {
-      self.cut();
+      self.close_connections();
       // Wakes the accept loop, so that it closes the listener.
       while TcpStream::connect(self.address).is_ok() {
         thread::sleep(Duration::from_millis(1));
@@ -102,13 +102,13 @@
 
   /// Pauses or resumes forwarding towards the target (`up`) and from it (`down`). Open connections
   /// stay open.
-  pub fn hold(&self, up: bool, down: bool) {
+  pub fn pause(&self, up: bool, down: bool) {
     self.inner.paused[0].store(up, Ordering::SeqCst);
     self.inner.paused[1].store(down, Ordering::SeqCst);
   }
 
   /// Closes every open connection.
-  pub fn cut(&self) {
+  pub fn close_connections(&self) {
     for stream in lock(&self.inner.open).values().flatten() {
       let _ = stream.shutdown(Shutdown::Both);
     }
--- a/stand-ins/src/replay.rs
+++ b/stand-ins/src/replay.rs
@@ -117,7 +117,7 @@
 
 /// Disruptions of a replay. Times are in ms.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Trouble {
+pub struct Disruptions {
   /// Start and end of a burst, and the factor on the request rate.
   pub burst: Option<(u64, u64, f64)>,
   /// When servers are lost, when they return without models in memory, and the fraction of servers
@@ -201,7 +201,7 @@
 pub struct Replay {
   plan: Plan,
   size: Size,
-  disruptions: Trouble,
+  disruptions: Disruptions,
   deployment: Arc<Deployment>,
   term: u64,
   holder: Holder,
@@ -306,7 +306,7 @@
     let mut replay = Self {
       plan: Plan::new("10.0.0.1", 0, 5_000, 1.0),
       size,
-      disruptions: Trouble::default(),
+      disruptions: Disruptions::default(),
       deployment: Arc::new(deployment(&size)),
       term: 0,
       holder,
@@ -343,7 +343,7 @@
   }
 
   /// Adds disruptions to the replay.
-  pub fn with(mut self, disruptions: Trouble) -> Self {
+  pub fn with(mut self, disruptions: Disruptions) -> Self {
     self.disruptions = disruptions;
     self
   }
--- a/tests/outage.rs
+++ b/tests/outage.rs
@@ -54,7 +54,7 @@
     .collect();
   wait_for("the requests to wait", || fleet.waiting() == 6);
   fleet.platform_proxy.fault(Fault::None);
-  fleet.platform_proxy.cut();
+  fleet.platform_proxy.close_connections();
   for (at, thread) in threads.into_iter().enumerate() {
     let reply = thread.join().unwrap();
     assert!(
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -1,6 +1,6 @@
 //! The planner's work follows the changes that it takes in, not the size of the fleet.
 
-use stand_ins::replay::{Holder, Outcome, Popular, Replay, Size, Trouble, percentile};
+use stand_ins::replay::{Disruptions, Holder, Outcome, Popular, Replay, Size, percentile};
 use std::time::Duration;
 
 /// The load of the smallest fleet, on a fleet of so many servers.
@@ -67,9 +67,9 @@
     ms: 15_000,
     ..Size::of(64)
   };
-  let trouble = Trouble {
+  let trouble = Disruptions {
     waits: Some(5),
-    ..Trouble::default()
+    ..Disruptions::default()
   };
   let outcome = Replay::open(size, Holder::Free, 4).with(trouble).play();
   let ordered = percentile(&outcome.ordered_ms, 50);
@@ -86,10 +86,10 @@
     ms: 12_000,
     ..Size::of(256)
   };
-  let trouble = Trouble {
+  let trouble = Disruptions {
     takeover: Some((3_000, 3_500)),
     unload_ms: Some(75),
-    ..Trouble::default()
+    ..Disruptions::default()
   };
   let outcome = Replay::open(size, Holder::Free, 6).with(trouble).play();
   let ordered = percentile(&outcome.ordered_ms, 90);
@@ -98,7 +98,7 @@
 }
 
 /// The part of the requests for rare models that meet their objective, of a fleet in trouble.
-fn in_time(trouble: Trouble) -> f64 {
+fn in_time(trouble: Disruptions) -> f64 {
   let size = Size {
     ms: 15_000,
     ..Size::of(64)
@@ -110,26 +110,26 @@
 /// Load patterns, each with the part that a planner must serve in time.
 #[test]
 fn rare_models_are_served_through_trouble() {
-  let burst = Trouble {
+  let burst = Disruptions {
     burst: Some((4_000, 10_000, 2.1)),
-    ..Trouble::default()
+    ..Disruptions::default()
   };
-  let lost = Trouble {
+  let lost = Disruptions {
     lost: Some((5_000, 7_000, 0.25)),
-    ..Trouble::default()
+    ..Disruptions::default()
   };
-  let takeover = Trouble {
+  let takeover = Disruptions {
     takeover: Some((6_000, 800)),
-    ..Trouble::default()
+    ..Disruptions::default()
   };
-  let all = Trouble {
+  let all = Disruptions {
     burst: burst.burst,
     lost: lost.lost,
     takeover: takeover.takeover,
-    ..Trouble::default()
+    ..Disruptions::default()
   };
   for (name, trouble, least) in [
-    ("none", Trouble::default(), 0.95),
+    ("none", Disruptions::default(), 0.95),
     ("burst", burst, 0.95),
     ("a quarter of the servers lost", lost, 0.94),
     ("takeover", takeover, 0.95),
