--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -1,4 +1,4 @@
-//! Limits of backend servers in need, kept over a fleet.
+//! Enforcement of the request rate limits that overloaded backend servers announce, across a fleet.
 
 mod fleet_limit;
 #[allow(dead_code)]
@@ -21,12 +21,12 @@
 use requests::refused;
 use std::{collections::BTreeMap, sync::Arc};
 
-/// A refused request waits for a unit of a server's limit at the most so long, ms: until the holder
-/// has answered, or is taken not to.
-const REFUSED_MS: u64 = 200;
+/// Longest time that a refused request may wait for a unit of a server's limit: until the holder
+/// answers or the instance stops waiting for its answer.
+const MAX_REFUSAL_MS: u64 = 200;
 
-/// Three servers, one of which needs help from 4 s on.
-fn story(seed: u64, instances: usize, rate: f64) -> Scenario {
+/// Three servers, one of which announces a limit from 4 s on.
+fn scenario(seed: u64, instances: usize, rate: f64) -> Scenario {
   Scenario {
     seed,
     instances,
@@ -44,97 +44,97 @@
   }
 }
 
-fn stories(instances: usize, rate: f64) -> Vec<(&'static str, Scenario)> {
-  let story = |seed| story(seed, instances, rate);
+fn scenarios(instances: usize, rate: f64) -> Vec<(&'static str, Scenario)> {
+  let scenario = |seed| scenario(seed, instances, rate);
   let half = instances / 2;
   vec![
-    ("quiet", story(1)),
+    ("no faults", scenario(1)),
     (
       "the holder dies",
       Scenario {
         kill: Some((1, 9_000, true)),
-        ..story(2)
+        ..scenario(2)
       },
     ),
     (
-      "half of all and the holder die",
+      "half of the instances and the holder die",
       Scenario {
         kill: Some((half, 9_000, true)),
-        ..story(3)
+        ..scenario(3)
       },
     ),
     (
-      "half of all start again",
+      "half of the instances restart",
       Scenario {
         kill: Some((half, 9_000, false)),
-        ..story(4)
+        ..scenario(4)
       },
     ),
     (
-      "three are cut off",
+      "three instances are partitioned",
       Scenario {
         partitioned: Some((3, 3_000, 12_000)),
-        ..story(5)
+        ..scenario(5)
       },
     ),
     (
-      "three stand still",
+      "three instances are suspended",
       Scenario {
         suspended: Some((3, 7_000, 11_000)),
-        ..story(6)
+        ..scenario(6)
       },
     ),
     (
-      "declined, broken off and repeated",
+      "requests are declined, broken off and retried",
       Scenario {
         declined: 0.3,
         broken: 0.2,
-        ..story(7)
+        ..scenario(7)
       },
     ),
     (
       "datagrams are lost",
       Scenario {
         loss: 0.15,
-        ..story(8)
+        ..scenario(8)
       },
     ),
     (
-      "the server starts again",
+      "the server restarts",
       Scenario {
         restart: Some(10_000),
-        ..story(9)
+        ..scenario(9)
       },
     ),
     (
-      "it stops saying so and begins again",
+      "the server withdraws the limit and announces it again",
       Scenario {
         announced: vec![(4_000, Some(rate)), (9_000, None), (13_000, Some(rate))],
-        ..story(10)
+        ..scenario(10)
       },
     ),
     (
       "the limit changes",
       Scenario {
         announced: vec![(4_000, Some(rate)), (9_000, Some(rate / 2.0))],
-        ..story(11)
+        ..scenario(11)
       },
     ),
     (
-      "all servers but it are gone",
+      "the limited server is the only one",
       Scenario {
         servers: 1,
-        ..story(12)
+        ..scenario(12)
       },
     ),
   ]
 }
 
-fn kept(name: &str, outcome: &Outcome) {
+fn assert_limit_kept(name: &str, outcome: &Outcome) {
   println!("{name}: {outcome:?}");
   assert!(outcome.excess <= 0.0, "{name}: {outcome:?}");
   assert!(
-    outcome.slowest_refusal_ms <= REFUSED_MS,
+    outcome.slowest_refusal_ms <= MAX_REFUSAL_MS,
     "{name}: {outcome:?}"
   );
 }
@@ -142,20 +142,23 @@
 #[test]
 fn a_limit_holds_at_seven_instances() {
   for rate in [1.0, 2.3, 0.3, 8.0] {
-    for (name, story) in stories(7, rate) {
-      kept(&format!("{name}, {rate} a second"), &simulate(&story));
+    for (name, scenario) in scenarios(7, rate) {
+      assert_limit_kept(
+        &format!("{name}, {rate} requests per second"),
+        &simulate(&scenario),
+      );
     }
   }
 }
 
 #[test]
 fn a_limit_of_one_a_second_holds_at_295_instances() {
-  for (name, story) in stories(295, 1.0) {
-    kept(
+  for (name, scenario) in scenarios(295, 1.0) {
+    assert_limit_kept(
       name,
       &simulate(&Scenario {
         load: 600.0,
-        ..story
+        ..scenario
       }),
     );
   }
@@ -165,19 +168,19 @@
 fn what_a_lone_server_takes_is_used_and_the_rest_is_refused_at_once() {
   for (instances, load) in [(7, 60.0), (295, 600.0)] {
     for rate in [1.0, 2.3] {
-      let alone = Scenario {
+      let lone_server = Scenario {
         servers: 1,
         load,
-        ..story(20, instances, rate)
+        ..scenario(20, instances, rate)
       };
-      let outcome = simulate(&alone);
-      println!("{instances} instances, {rate} a second: {outcome:?}");
+      let outcome = simulate(&lone_server);
+      println!("{instances} instances, {rate} requests per second: {outcome:?}");
       let used = outcome.received as f64 / outcome.allowed;
       assert!(
         used > 0.6,
         "{instances}, {rate}: {used:.2} of the limit is used"
       );
-      assert!(outcome.slowest_refusal_ms <= REFUSED_MS, "{outcome:?}");
+      assert!(outcome.slowest_refusal_ms <= MAX_REFUSAL_MS, "{outcome:?}");
     }
   }
 }
@@ -185,7 +188,7 @@
 #[test]
 fn where_others_have_room_nothing_is_refused() {
   for instances in [7, 295] {
-    let outcome = simulate(&story(30, instances, 1.0));
+    let outcome = simulate(&scenario(30, instances, 1.0));
     assert_eq!(outcome.refused, 0, "{instances}: {outcome:?}");
   }
 }
@@ -196,7 +199,7 @@
     let ends = Scenario {
       load,
       announced: vec![(4_000, Some(1.0)), (9_000, None)],
-      ..story(40, instances, 1.0)
+      ..scenario(40, instances, 1.0)
     };
     let outcome = simulate(&ends);
     let share = load / 3.0;
@@ -207,47 +210,50 @@
   }
 }
 
-/// Histories of deaths, suspensions, partitions, restarts and lost datagrams, all drawn.
-fn drawn(rng: &mut SmallRng) -> Scenario {
+/// Returns a random scenario of crashes, suspensions, partitions, restarts and lost datagrams.
+fn random_scenario(rng: &mut SmallRng) -> Scenario {
   let rate = [0.5, 1.0, 2.3, 5.0][rng.random_range(0..4)];
   let at = rng.random_range(4_500..12_000);
-  let mut story = Scenario {
+  let mut scenario = Scenario {
     instances: rng.random_range(2..30),
     servers: rng.random_range(1..4),
     load: rng.random_range(10.0..120.0),
     loss: rng.random_range(0.0..0.2),
     declined: rng.random_range(0.0..0.3),
     broken: rng.random_range(0.0..0.3),
-    ..story(rng.random(), 7, rate)
+    ..scenario(rng.random(), 7, rate)
   };
-  let some = rng.random_range(1..=story.instances.div_ceil(2));
-  let what: u32 = rng.random();
-  if what & 1 > 0 {
-    story.kill = Some((some, at, what & 2 > 0));
+  let affected = rng.random_range(1..=scenario.instances.div_ceil(2));
+  let faults: u32 = rng.random();
+  if faults & 1 > 0 {
+    scenario.kill = Some((affected, at, faults & 2 > 0));
   }
-  if what & 4 > 0 {
-    story.partitioned = Some((some, at, at + 4_000));
+  if faults & 4 > 0 {
+    scenario.partitioned = Some((affected, at, at + 4_000));
   }
-  if what & 8 > 0 {
-    story.suspended = Some((some, at, at + 3_000));
+  if faults & 8 > 0 {
+    scenario.suspended = Some((affected, at, at + 3_000));
   }
-  if what & 16 > 0 {
-    story.restart = Some(at + 1_500);
+  if faults & 16 > 0 {
+    scenario.restart = Some(at + 1_500);
   }
-  if what & 32 > 0 {
-    story.announced.push((at, None));
-    story.announced.push((at + 2_000, Some(rate)));
+  if faults & 32 > 0 {
+    scenario.announced.push((at, None));
+    scenario.announced.push((at + 2_000, Some(rate)));
   }
-  story
+  scenario
 }
 
 #[test]
 fn a_limit_holds_in_any_history() {
   let mut rng = SmallRng::seed_from_u64(4_000);
   for number in 0..150 {
-    let story = drawn(&mut rng);
-    let outcome = simulate(&story);
-    assert!(outcome.excess <= 0.0, "{number}: {outcome:?} of {story:?}");
+    let scenario = random_scenario(&mut rng);
+    let outcome = simulate(&scenario);
+    assert!(
+      outcome.excess <= 0.0,
+      "{number}: {outcome:?} of {scenario:?}"
+    );
   }
 }
 
@@ -270,7 +276,7 @@
   let server = Life::of("s", 1);
   let mut limits = Limits::default();
   assert!(limits.update(server, Some(2.0), 100, true));
-  // Its request was sent before the limit was named.
+  // The request of this response was sent before the limit was announced.
   assert!(!limits.update(server, None, 100, true));
   assert!(!limits.update(server, Some(3.0), 90, false));
   assert_eq!(limits.rate(server), Some(2.0));
@@ -279,13 +285,13 @@
   assert_eq!(
     limits.rate(Life::of("s", 2)),
     None,
-    "its next life has said nothing"
+    "the next life of the server has announced no limit"
   );
   assert_eq!(limits.take_changed(), [(server, true), (server, true)]);
 }
 
 quickcheck! {
-  /// Whatever rate is named, at least one request fits into a window.
+  /// At least one request fits into a window at any announced rate.
   fn a_window_holds_a_request(rate: f64) -> bool {
     let rate = rate.abs();
     let allowed = allowance(if rate.is_finite() { rate } else { 0.0 });
@@ -293,8 +299,8 @@
   }
 }
 
-/// An instance without a holder, before some servers that hold one model.
-fn alone(ids: &[&str]) -> State {
+/// State of an instance that has no holder, with servers that hold one model.
+fn state_without_holder(ids: &[&str]) -> State {
   let mut state = requests::deployed(Engine::default());
   let specs = ids.iter().map(|id| Spec {
     models: BTreeMap::from([("m".to_string(), Vec::new())]),
@@ -329,7 +335,7 @@
   })
 }
 
-fn named(ticket: u64, rate: Option<f64>) -> Event {
+fn limit_announced(ticket: u64, rate: Option<f64>) -> Event {
   let ticket = Ticket(ticket);
   Event::LimitAnnounced { ticket, rate }
 }
@@ -339,13 +345,14 @@
   Event::Ended { ticket, end }
 }
 
-/// Sends that one instance makes in two seconds to a server that takes one a second, while nobody
-/// grants it anything: its part of what an eighth of a fleet may send.
+/// Counts the sends of one instance in two seconds to a server with a limit of one request per
+/// second. Without grants, the instance may use only its part of what an eighth of a fleet may
+/// send.
 #[test]
 fn an_instance_that_hears_of_no_holder_goes_by_its_share() {
-  let mut state = alone(&["s"]);
+  let mut state = state_without_holder(&["s"]);
   assert!(sent(&state.reduce(10, arrived(1))).is_some());
-  let effects = state.reduce(20, named(1, Some(1.0)));
+  let effects = state.reduce(20, limit_announced(1, Some(1.0)));
   assert!(matches!(
     effects[..],
     [Effect::LimitChanged {
@@ -359,7 +366,7 @@
     let now = 30 + ticket * 10;
     let mut effects = state.reduce(now, arrived(ticket));
     if sent(&effects).is_none() && refused(&effects).is_none() {
-      // Its patience is over.
+      // The request has waited as long as it may.
       effects = state.reduce(now + 160, Event::Recheck(Ticket(ticket)));
     }
     if sent(&effects).is_some() {
@@ -376,23 +383,27 @@
 
 #[test]
 fn a_stream_that_goes_on_elsewhere_takes_a_unit_there_too() {
-  let mut state = alone(&["one", "two"]);
-  // Both are in need.
-  let mut at = BTreeMap::new();
+  let mut state = state_without_holder(&["one", "two"]);
+  // Both servers announce a limit.
+  let mut tickets = BTreeMap::new();
   for ticket in 1..=20 {
     let (id, _) = sent(&state.reduce(10, arrived(ticket))).unwrap();
-    state.reduce(11, named(ticket, Some(1.0)));
-    at.insert(id, ticket);
-    if at.len() == 2 {
+    state.reduce(11, limit_announced(ticket, Some(1.0)));
+    tickets.insert(id, ticket);
+    if tickets.len() == 2 {
       break;
     }
   }
-  let broken = at["one"];
+  let broken = tickets["one"];
   let effects = state.reduce(20, ended(broken, End::Broken));
-  assert_eq!(sent(&effects), None, "a unit of the other one is asked for");
+  assert_eq!(
+    sent(&effects),
+    None,
+    "a unit of the other server is requested"
+  );
   assert!(effects.contains(&Effect::RequestQuota));
   let uses = state.uses(20);
-  let needed: Vec<u32> = uses.iter().map(|one| one.need).collect();
+  let needed: Vec<u32> = uses.iter().map(|usage| usage.need).collect();
   assert!(needed.contains(&1), "{needed:?}");
   let two = bendsaddle::quota::Id::for_server(Life::of("two", 0));
   let grant = bendsaddle::quota::Grant {
@@ -406,7 +417,7 @@
   };
   let effects = state.reduce(25, granted);
   assert_eq!(sent(&effects), Some(("two".to_string(), true)));
-  // It did not get there: the unit is free for the next one.
+  // The request did not reach the server, so its unit is free for the next request.
   let effects = state.reduce(30, ended(broken, End::Unreached));
   assert_eq!(state.quotas().usage(30, two).1, 1, "{effects:?}");
 }
--- a/tests/lives.rs
+++ b/tests/lives.rs
@@ -1,5 +1,5 @@
-//! A server that starts again under the id and address that it had: nothing of its earlier
-//! life counts for the later one, in whatever order the news of both comes.
+//! A server that restarts under the same id and address: no state of its earlier life applies to
+//! the later one, in whatever order updates about the two lives arrive.
 
 mod holder;
 mod requests;
@@ -18,12 +18,12 @@
 use requests::{refused, route};
 use std::collections::BTreeMap;
 
-/// Births of a server's lives, Unix ms.
+/// Start times of a server's lives, in Unix milliseconds.
 const FIRST: u64 = 1_000;
 const SECOND: u64 = 2_000;
 const THIRD: u64 = 3_000;
 
-/// A holder and a server in its first life that holds `a` and has `d` on its disk.
+/// A holder and a server in its first life, which has `a` loaded and `d` on its disk.
 fn world() -> World {
   let mut world = World::new(&["a", "d"], &[("one", &["a"], &["d"])]);
   world.servers.get_mut("one").unwrap().spec.born = FIRST;
@@ -32,7 +32,7 @@
   world
 }
 
-/// Waits for the next order, which is neither carried out nor answered.
+/// Runs until the next order and returns it without executing or answering it.
 fn next_order(world: &mut World) -> Command {
   for _ in 0..100 {
     world.now += 10;
@@ -45,7 +45,7 @@
       }
     }
   }
-  panic!("no order");
+  panic!("no order within 1 s");
 }
 
 fn inventory(born: u64, models: &[&str], orders: u64) -> Inventory {
@@ -60,7 +60,7 @@
   }
 }
 
-/// Models that the holder publishes for the server.
+/// Returns the models that the holder publishes for server `one`.
 fn published(world: &mut World) -> Vec<String> {
   world.now += 1_000;
   world.plan.request_publish();
@@ -91,7 +91,7 @@
   assert_eq!(
     first,
     Some(0),
-    "orders are counted anew: {:?}",
+    "the order count restarts at 0: {:?}",
     world.orders
   );
   assert!(world.holds("one", "d"), "{:?}", world.orders);
@@ -101,7 +101,7 @@
 fn a_report_of_a_later_life_ends_the_earlier_one_before_its_entry_comes() {
   let mut world = world();
   world.waiting = vec![("d".into(), 1)];
-  // Its count is above that of the next life from here on.
+  // From here on, the order count of this life exceeds that of the next one.
   world.run(2_000);
   assert!(world.holds("one", "d"));
   world.restart("one", SECOND);
@@ -109,7 +109,7 @@
   world.run(4_000);
   assert!(
     world.holds("one", "d"),
-    "it was loaded again: {:?}",
+    "the model is loaded again: {:?}",
     world.orders
   );
 }
@@ -120,8 +120,8 @@
   world.restart("one", SECOND);
   world.list_servers(&["one"]);
   world.run(500);
-  let late = inventory(FIRST, &["a"], 5);
-  world.plan.receive_inventory(world.now, "one", Ok(late));
+  let stale = inventory(FIRST, &["a"], 5);
+  world.plan.receive_inventory(world.now, "one", Ok(stale));
   world.waiting = vec![("d".into(), 1)];
   world.run(2_000);
   assert!(world.holds("one", "d"), "{:?}", world.orders);
@@ -155,10 +155,10 @@
   world.run(500);
   world.servers.get_mut("one").unwrap().spec.born = SECOND;
   world.list_servers(&["one"]);
-  // The instance that reports has not heard of the later life yet.
-  let late = world.life("one");
+  // The reporting instance does not know the later life yet.
+  let later_life = world.life("one");
   world.servers.get_mut("one").unwrap().spec.born = FIRST;
-  assert_ne!(world.life("one"), late);
+  assert_ne!(world.life("one"), later_life);
   world.running = ["a", "b", "c"]
     .map(|model| ("one".to_string(), model.to_string(), 1))
     .into();
@@ -167,7 +167,7 @@
   world.servers.get_mut("one").unwrap().spec.born = SECOND;
   world.running.clear();
   let order = next_order(&mut world);
-  assert_eq!(order.life(), late);
+  assert_eq!(order.life(), later_life);
 }
 
 #[test]
@@ -181,8 +181,8 @@
   world
     .plan
     .record_order_result(world.now, &order, Taken::Accepted);
-  let late = inventory(FIRST, &["a"], 9);
-  world.plan.receive_inventory(world.now, "one", Ok(late));
+  let stale = inventory(FIRST, &["a"], 9);
+  world.plan.receive_inventory(world.now, "one", Ok(stale));
   world.run(3_000);
   assert!(world.holds("one", "d"), "{:?}", world.orders);
 }
@@ -222,9 +222,9 @@
   }
 }
 
-/// Whether a request for a model is sent at once.
+/// Returns whether a request for `model` is sent immediately.
 fn sent(state: &mut State, now: u64, ticket: u64, model: &str) -> bool {
-  let ask = Descriptor {
+  let descriptor = Descriptor {
     ticket: Ticket(ticket),
     id: ticket.to_string(),
     route: route(Repeat::Always, None, 3).into(),
@@ -235,7 +235,7 @@
     content: Default::default(),
     caller: None,
   };
-  let effects = state.reduce(now, Event::Arrived(ask));
+  let effects = state.reduce(now, Event::Arrived(descriptor));
   effects
     .iter()
     .any(|effect| matches!(effect, Effect::Send(_)))
@@ -260,7 +260,7 @@
   state.reduce(1, holding(SECOND, &["n"]));
   assert!(!sent(&mut state, 2, 1, "m"));
   assert!(sent(&mut state, 2, 2, "n"));
-  // Its entry as it was before, from the store's history.
+  // The server's earlier entry, from the store's history.
   state.reduce(3, Event::Servers(vec![Change::Set(spec(FIRST, &["m"]))]));
   assert!(!sent(&mut state, 4, 3, "m"));
   assert!(sent(&mut state, 4, 4, "n"));
@@ -308,7 +308,7 @@
       .collect();
     assert!(
       !lives.contains_key(&FIRST),
-      "it went with its last request: {lives:?}"
+      "the earlier life is removed with its last request: {lives:?}"
     );
   }
 }
--- a/tests/logs.rs
+++ b/tests/logs.rs
@@ -1,4 +1,4 @@
-//! Lines of the log can be queried by their fields.
+//! Log lines can be queried by their typed fields, and a full log queue does not block.
 
 use bendsaddle::journal::{Entry, Fields};
 use slog::{Drain, Logger, info, o};
@@ -39,12 +39,12 @@
   assert_eq!(line["instance"], "one");
 }
 
-/// A writer that is stuck until it is let go.
-struct Stuck(Arc<Mutex<()>>, Sink);
+/// A writer that blocks while its mutex is held elsewhere.
+struct BlockedWriter(Arc<Mutex<()>>, Sink);
 
-impl Write for Stuck {
+impl Write for BlockedWriter {
   fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
-    let _held = self.0.lock().unwrap();
+    let _guard = self.0.lock().unwrap();
     self.1.write(bytes)
   }
 
@@ -56,26 +56,26 @@
 #[test]
 fn a_full_queue_drops_counts_and_does_not_block() {
   let (gate, sink) = (Arc::new(Mutex::new(())), Sink::default());
-  let held = gate.lock().unwrap();
-  let json = slog_json::Json::default(Stuck(gate.clone(), sink.clone())).ignore_res();
-  let (drain, end) = slog_async::Async::new(json)
+  let guard = gate.lock().unwrap();
+  let json = slog_json::Json::default(BlockedWriter(gate.clone(), sink.clone())).ignore_res();
+  let (drain, flush_guard) = slog_async::Async::new(json)
     .chan_size(4)
     .overflow_strategy(slog_async::OverflowStrategy::DropAndReport)
     .build_with_guard();
   let log = Logger::root(drain.ignore_res(), o!());
   for number in 0..100 {
-    // Would never end if writing blocked: the writer is stuck.
+    // The writer is blocked, so this loop would never finish if logging waited for it.
     info!(log, "line"; "number" => number);
   }
-  drop(held);
+  drop(guard);
   let text = || String::from_utf8(sink.0.lock().unwrap().clone()).unwrap();
-  // The count goes out with the next line for which there is room.
+  // The number of dropped messages is logged with the next line that fits into the queue.
   while !text().contains("logger dropped messages") {
     info!(log, "last");
     std::thread::yield_now();
   }
   drop(log);
-  drop(end);
+  drop(flush_guard);
   let text = text();
   let written = text
     .lines()
--- a/tests/losses.rs
+++ b/tests/losses.rs
@@ -1,15 +1,15 @@
-//! Requests that were not served in time, by cause, over the logs of several instances.
+//! Counts of requests that were not served in time, by cause, from the logs of several instances.
 
 use bendsaddle::{
   explain::Line,
   losses::{Cause, table},
 };
 
-/// A line at some seconds, with more fields.
+/// Returns a log line at `at` seconds with additional JSON `fields`.
 fn line(at: f64, msg: &str, fields: &str) -> Line {
   let text =
     format!(r#"{{"msg":"{msg}","ts":"2026-01-01T00:00:{at:06.3}Z","instance":"one",{fields}}}"#);
-  Line::parse(&text).expect("a line")
+  Line::parse(&text).expect("a valid log line")
 }
 
 fn waiting(at: f64, request: &str) -> Line {
@@ -36,7 +36,7 @@
   )
 }
 
-/// The one cause in a table of one request.
+/// Returns the cause of loss of the only request in `lines`, or `None` if it is not lost.
 fn cause(lines: Vec<Line>) -> Option<Cause> {
   let table = table(lines);
   assert_eq!(table.requests, 1);
@@ -46,7 +46,7 @@
 #[test]
 fn a_request_in_time_is_not_lost() {
   assert_eq!(cause(vec![sent(1.0, "r", "Whole", "no")]), None);
-  // Nor one whose first send failed.
+  // A request whose first send failed is not lost either.
   let lines = vec![
     sent(1.0, "r", "Broken", "no"),
     sent(2.0, "r", "Whole", "no"),
@@ -84,8 +84,8 @@
     cause(vec![waiting(1.0, "r"), line(2.0, "refused", &fields)])
   };
   assert_eq!(refused("loading"), Some(Cause::Refused("loading".into())));
-  let astray = cause(vec![line(1.0, "no route", r#""request":"r","path":"/x""#)]);
-  assert_eq!(astray, Some(Cause::Refused("no-route".into())));
+  let unrouted = cause(vec![line(1.0, "no route", r#""request":"r","path":"/x""#)]);
+  assert_eq!(unrouted, Some(Cause::Refused("no-route".into())));
   let failed = cause(vec![sent(1.0, "r", "Broken", "no")]);
   assert_eq!(failed, Some(Cause::Failed("stalled".into())));
   assert_eq!(
--- a/tests/once.rs
+++ b/tests/once.rs
@@ -1,4 +1,4 @@
-//! Calls that may not be repeated run at most once.
+//! Calls that must not be repeated run at most once.
 
 use serde_json::json;
 use stand_ins::{
--- a/tests/outage.rs
+++ b/tests/outage.rs
@@ -1,4 +1,4 @@
-//! The object API down for long.
+//! Long outages of the object API.
 
 use serde_json::json;
 use stand_ins::{
@@ -19,7 +19,7 @@
     .model("cold", 200)
 }
 
-fn served(fleet: &Fleet, at: usize, model: &str, prompt: &str) {
+fn assert_served(fleet: &Fleet, at: usize, model: &str, prompt: &str) {
   let reply = Request::of(model, prompt, 5).send(fleet.callers(at));
   assert!(reply.matches(&answer(prompt, 5)), "{reply:?}");
 }
@@ -27,10 +27,10 @@
 #[test]
 fn loaded_models_serve_on_and_new_loads_are_refused_in_time() {
   let fleet = plan().start().unwrap();
-  served(&fleet, 0, "warm", "before");
+  assert_served(&fleet, 0, "warm", "before");
   fleet.platform_proxy.fault(Fault::Refuse);
   for at in 0..9 {
-    served(&fleet, at, "warm", &format!("down {at}"));
+    assert_served(&fleet, at, "warm", &format!("down {at}"));
   }
   let refused = Request::of("cold", "no load", 5)
     .with_deadline(Duration::from_millis(1_500))
@@ -69,7 +69,7 @@
 #[test]
 fn every_instance_replaced_in_an_outage_serves_what_is_loaded() {
   let mut fleet = plan().start().unwrap();
-  served(&fleet, 0, "warm", "before");
+  assert_served(&fleet, 0, "warm", "before");
   fleet.platform_proxy.fault(Fault::Refuse);
   for _ in 0..3 {
     fleet.add().unwrap();
@@ -77,7 +77,7 @@
     fleet.kill(0);
   }
   for at in 0..6 {
-    served(&fleet, at, "warm", &format!("replaced {at}"));
+    assert_served(&fleet, at, "warm", &format!("replaced {at}"));
   }
   assert_eq!(fleet.loads(), 1);
 }
--- a/tests/outbound.rs
+++ b/tests/outbound.rs
@@ -1,4 +1,4 @@
-//! Calls that have a last moment.
+//! Outbound calls: send deadlines and timeouts.
 
 use bendsaddle::outbound::{Call, Client, Failure};
 use std::{
@@ -8,8 +8,8 @@
   time::Duration,
 };
 
-/// A connection that comes up counts for nothing once the moment has passed: a
-/// process may have stood still meanwhile.
+/// A call is not sent after its deadline even if the connection is established: the process may
+/// have been suspended in the meantime.
 #[test]
 fn a_call_whose_moment_has_passed_is_not_sent() {
   let listener = TcpListener::bind("127.0.0.1:0").unwrap();
@@ -24,35 +24,36 @@
     total_timeout: Duration::from_secs(5),
     send_before: Some(bendsaddle::clock::Moment::now()),
   };
-  let heard = thread::spawn(move || {
+  let receiver = thread::spawn(move || {
     let (mut stream, _) = listener.accept().unwrap();
     let mut bytes = Vec::new();
     stream.read_to_end(&mut bytes).unwrap();
     bytes
   });
-  let sent = Client::default().send(address, &call);
-  assert_eq!(sent.err(), Some(Failure::NotSent));
+  let result = Client::default().send(address, &call);
+  assert_eq!(result.err(), Some(Failure::NotSent));
   assert!(
-    heard.join().unwrap().is_empty(),
-    "connected, and nothing sent"
+    receiver.join().unwrap().is_empty(),
+    "a connection is established, but no bytes are sent"
   );
 }
 
-// Where packets are lost, a deployment of some ten kilobytes takes longer than the second in
-// which the store begins to answer: what still arrives is waited for, up to five times as long.
+// With packet loss, a deployment of about ten kilobytes takes longer than the one second within
+// which the store starts to answer. A response that is still arriving is awaited for up to five
+// times as long.
 #[test]
 fn an_answer_that_goes_on_arriving_is_waited_for() {
   let listener = TcpListener::bind("127.0.0.1:0").unwrap();
   let address = listener.local_addr().unwrap();
-  let silence = Duration::from_millis(500);
+  let idle_timeout = Duration::from_millis(500);
   let call = Call {
     method: "GET",
     target: "/",
     headers: &[],
     body: &[],
     connect_timeout: Duration::from_secs(5),
-    read_timeout: silence,
-    total_timeout: silence * 5,
+    read_timeout: idle_timeout,
+    total_timeout: idle_timeout * 5,
     send_before: None,
   };
   thread::spawn(move || {
@@ -62,11 +63,11 @@
       .write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 8\r\n\r\n")
       .unwrap();
     for byte in b"answered" {
-      thread::sleep(silence / 5);
+      thread::sleep(idle_timeout / 5);
       stream.write_all(&[*byte]).unwrap();
     }
   });
-  let answer = Client::default().send(address, &call).expect("an answer");
+  let answer = Client::default().send(address, &call).expect("a response");
   assert_eq!(answer.body, b"answered");
 }
 
@@ -87,14 +88,14 @@
   thread::spawn(move || {
     let (mut stream, _) = listener.accept().unwrap();
     let head = b"HTTP/1.1 200 OK\r\nContent-Length: 1000\r\n\r\n";
-    let mut sent = stream.write_all(head);
-    while sent.is_ok() {
+    let mut result = stream.write_all(head);
+    while result.is_ok() {
       thread::sleep(Duration::from_millis(20));
-      sent = stream.write_all(b"x");
+      result = stream.write_all(b"x");
     }
   });
-  let sent = Client::default().send(address, &call);
-  assert_eq!(sent.err(), Some(Failure::NoAnswer));
+  let result = Client::default().send(address, &call);
+  assert_eq!(result.err(), Some(Failure::NoAnswer));
 }
 
 #[test]
@@ -112,6 +113,6 @@
     total_timeout: Duration::from_secs(5),
     send_before: None,
   };
-  let sent = Client::default().send(address, &call);
-  assert_eq!(sent.err(), Some(Failure::Refused));
+  let result = Client::default().send(address, &call);
+  assert_eq!(result.err(), Some(Failure::Refused));
 }
--- a/tests/outbox.rs
+++ b/tests/outbox.rs
@@ -1,5 +1,5 @@
-//! Datagrams to many instances: at once where the link carries them, else spread, all of them,
-//! each instance's in order.
+//! Datagrams to many instances: sent immediately if the link has capacity, otherwise spread over
+//! time. None is lost, and each instance receives its datagrams in order.
 
 use bendsaddle::outbox::{Outbox, SLOT_MS};
 use std::net::SocketAddr;
@@ -24,27 +24,30 @@
   for number in 0..4 {
     outbox.push(vec![number; 1_000], instances.clone());
   }
-  let mut got = vec![Vec::new(); instances.len()];
+  let mut received = vec![Vec::new(); instances.len()];
   assert!(
     outbox.drain_time_ms() >= 190,
     "{} ms",
     outbox.drain_time_ms()
   );
   let mut now = 1_000;
-  let began = now;
+  let start = now;
   while outbox.has_pending() {
     let due = outbox.take_due(now);
     let bytes: usize = due.iter().map(|(bytes, _)| bytes.len()).sum();
     assert!(
       bytes <= 5_000 * SLOT_MS as usize * 2 + 1_000,
-      "{bytes} at once"
+      "{bytes} bytes in one slot"
     );
     for (bytes, address) in due {
-      got[usize::from(address.port()) - 1].push(bytes[0]);
+      received[usize::from(address.port()) - 1].push(bytes[0]);
     }
     now += SLOT_MS;
   }
-  assert!(got.iter().all(|numbers| *numbers == [0, 1, 2, 3]));
-  let took = now - began;
-  assert!((200..=260).contains(&took), "{took} ms for 1.18 MB");
+  assert!(received.iter().all(|numbers| *numbers == [0, 1, 2, 3]));
+  let elapsed_ms = now - start;
+  assert!(
+    (200..=260).contains(&elapsed_ms),
+    "{elapsed_ms} ms for 1.18 MB"
+  );
 }
--- a/tests/placement.rs
+++ b/tests/placement.rs
@@ -1,4 +1,4 @@
-//! Replica count and memory, with processes behind the fault-injecting proxy.
+//! Replica counts and memory use, tested with processes behind the fault-injecting proxy.
 
 use serde_json::json;
 use stand_ins::{
@@ -19,7 +19,7 @@
     .policy("all", json!({ "keepAlive": { "fixed": 60_000 } }))
 }
 
-/// Sends `count` requests for a model, over all instances.
+/// Sends `count` requests for a model, distributed over all instances.
 fn burst(fleet: &Fleet, model: &str, count: usize) -> Vec<JoinHandle<bool>> {
   let send = |at: usize| {
     let address = fleet.callers(at).to_string();
@@ -33,9 +33,9 @@
   (0..count).map(send).collect()
 }
 
-fn whole(threads: Vec<JoinHandle<bool>>) -> usize {
+fn count_complete(threads: Vec<JoinHandle<bool>>) -> usize {
   let ended = threads.into_iter().filter_map(|thread| thread.join().ok());
-  ended.filter(|whole| *whole).count()
+  ended.filter(|complete| *complete).count()
 }
 
 #[test]
@@ -45,7 +45,7 @@
     .model("contracts", 200)
     .start()
     .unwrap();
-  assert_eq!(whole(burst(&fleet, "contracts", 30)), 30);
+  assert_eq!(count_complete(burst(&fleet, "contracts", 30)), 30);
   assert_eq!(fleet.loads(), 1);
   assert_eq!(fleet.violations(), Vec::<String>::new());
 }
@@ -58,7 +58,7 @@
     .start()
     .unwrap();
   fleet.platform.fault(|faults| faults.lose_answers = 2);
-  assert_eq!(whole(burst(&fleet, "contracts", 12)), 12);
+  assert_eq!(count_complete(burst(&fleet, "contracts", 12)), 12);
   assert_eq!(fleet.loads(), 1);
   assert_eq!(fleet.violations(), Vec::<String>::new());
 }
@@ -76,14 +76,14 @@
   wait_for("a load", || fleet.loads() > 0);
   let decider = decider(&fleet);
   fleet.kill(decider);
-  // Requests at the lost instance are lost with it; those elsewhere are not.
-  assert!(whole(requests) >= 6);
-  assert_eq!(whole(burst(&fleet, "contracts", 4)), 4);
+  // Only the requests at the killed instance are lost.
+  assert!(count_complete(requests) >= 6);
+  assert_eq!(count_complete(burst(&fleet, "contracts", 4)), 4);
   assert_eq!(fleet.loads(), 1);
   assert_eq!(fleet.violations(), Vec::<String>::new());
 }
 
-/// The instance with a job in hand.
+/// Returns the index of the first instance that has a job in progress, or 0 if none has.
 fn decider(fleet: &Fleet) -> usize {
   let busy = |at: &usize| fleet.members[*at].status()["jobs"] != 0;
   (0..fleet.members.len()).find(busy).unwrap_or_default()
@@ -109,7 +109,7 @@
     )
     .start()
     .unwrap();
-  // Orders are held on their way, so that the decider freezes before its answer.
+  // Delays orders in transit so that the decider freezes before it receives the answer.
   for proxy in &fleet.proxies {
     proxy.fault(Fault::Delay(Duration::from_millis(300)));
   }
@@ -129,7 +129,7 @@
     stand_ins::engine::target_loaded(&fleet.platform, "contracts") == 0
   });
   fleet.members[frozen].signal("-CONT");
-  assert_eq!(whole(requests), 6);
+  assert_eq!(count_complete(requests), 6);
   wait_for("everything to be given back", || {
     let ledgers = fleet
       .engines
@@ -158,9 +158,9 @@
     .model("contracts", 200)
     .start()
     .unwrap();
-  assert_eq!(whole(burst(&fleet, "contracts", 3)), 3);
+  assert_eq!(count_complete(burst(&fleet, "contracts", 3)), 3);
   fleet.engines[0].restart();
-  assert_eq!(whole(burst(&fleet, "contracts", 6)), 6);
+  assert_eq!(count_complete(burst(&fleet, "contracts", 6)), 6);
   assert_eq!(fleet.loads(), 2);
   assert_eq!(fleet.violations(), Vec::<String>::new());
 }
@@ -174,7 +174,7 @@
   let fleet = plan.start().unwrap();
   for at in 0..6 {
     assert_eq!(
-      whole(burst(&fleet, &format!("model-{at}"), 4)),
+      count_complete(burst(&fleet, &format!("model-{at}"), 4)),
       4,
       "model-{at}"
     );
@@ -191,7 +191,7 @@
     .adapter("invoices", "base", 20)
     .start()
     .unwrap();
-  assert_eq!(whole(burst(&fleet, "invoices", 6)), 6);
+  assert_eq!(count_complete(burst(&fleet, "invoices", 6)), 6);
   let base = fleet.platform.record("base").replicas;
   let adapter = fleet.platform.record("invoices").replicas;
   assert_eq!(base[0].server, adapter[0].server);
@@ -209,7 +209,7 @@
     )
     .start()
     .unwrap();
-  assert_eq!(whole(burst(&fleet, "hints", 60)), 60);
+  assert_eq!(count_complete(burst(&fleet, "hints", 60)), 60);
   assert_eq!(fleet.loads(), 2);
   assert_eq!(fleet.platform.record("hints").replicas.len(), 2);
   assert_eq!(fleet.violations(), Vec::<String>::new());
--- a/tests/plan.rs
+++ b/tests/plan.rs
@@ -1,5 +1,5 @@
-//! The planner: which server takes which model, and what it does with answers
-//! that are lost, late or refused.
+//! The planner: which server loads which model, and how it handles answers that are lost, late or
+//! refused.
 
 mod holder;
 
@@ -27,7 +27,10 @@
   world.run(1_200);
   assert_eq!(world.loads(), [("two".to_string(), "d".to_string())]);
   assert!(world.holds("two", "d"));
-  assert!(world.holds("two", "a"), "what runs does not give way");
+  assert!(
+    world.holds("two", "a"),
+    "a model with running requests is not evicted"
+  );
 }
 
 #[test]
@@ -100,13 +103,16 @@
   world.waiting = vec![("d".into(), 1)];
   world.run(300);
   assert_eq!(world.orders.len(), 1);
-  let asked = world.query_count;
-  // It was taken all the same.
+  let earlier_count = world.query_count;
+  // The server accepted the order although its answer was lost.
   world.order_result = None;
   let order = world.orders[0].clone();
   world.carry_out(&order);
   world.run(3_000);
-  assert!(world.query_count > asked, "the server is asked first");
+  assert!(
+    world.query_count > earlier_count,
+    "the server is queried first"
+  );
   assert_eq!(world.loads().len(), 1, "{:?}", world.orders);
   assert!(world.holds("one", "d"));
 }
@@ -121,7 +127,7 @@
   let late = world.orders[0].clone();
   world.order_result = None;
   world.run(3_000);
-  assert!(world.holds("one", "d"), "it was ordered again");
+  assert!(world.holds("one", "d"), "the load is ordered again");
   assert_eq!(world.carry_out(&late), Taken::Conflict);
 }
 
@@ -135,7 +141,7 @@
   world.run(100);
   let late = world.orders.iter().find(|order| order.model.name == "d");
   let late = late.unwrap().clone();
-  // The server is asked before the order is carried out: there is room for another.
+  // The server is queried before it executes the order, so it reports room for another model.
   world.order_result = Some(Taken::Conflict);
   world.waiting = vec![("e".into(), 1)];
   while world.loads().len() < 2 {
@@ -144,11 +150,11 @@
   world.order_result = None;
   assert_eq!(world.carry_out(&late), Taken::Accepted);
   world.servers.get_mut("one").unwrap().busy_until = world.now + 300;
-  // The world panics where more is ordered than there is memory for.
+  // The world panics if an order exceeds the memory of the server.
   world.run(3_000);
   assert!(
     world.holds("one", "e"),
-    "what is waited for takes the room of what is not"
+    "a requested model replaces one that is not requested"
   );
 }
 
@@ -156,7 +162,7 @@
 fn a_model_that_requests_do_not_find_is_loaded_again() {
   let mut world = World::new(&["a", "d"], &[("one", &["a"], &["a", "d"])]);
   world.run(1_500);
-  // An unload that was given up is carried out late.
+  // The server executes an unload order late, after the planner gave up on it.
   let server = world.servers.get_mut("one").unwrap();
   server.held.remove("a");
   server.orders += 1;
@@ -164,7 +170,7 @@
   world.run(500);
   assert!(
     !world.holds("one", "a"),
-    "the planner believes that it is there"
+    "the planner assumes that the model is loaded"
   );
   world.missing = vec![("one".into(), "a".into())];
   world.run(1_500);
@@ -206,7 +212,7 @@
   world.run(300);
   world.adapters_in_use = true;
   world.waiting = vec![("a/a3".into(), 1)];
-  // The world panics where a third adapter is ordered.
+  // The world panics if a third adapter is ordered.
   world.run(2_000);
   world.adapters_in_use = false;
   world.run(2_000);
@@ -226,10 +232,10 @@
 fn a_new_term_asks_again() {
   let mut world = World::new(&["a"], &[("one", &["a"], &[])]);
   world.run(200);
-  let asked = world.query_count;
+  let earlier_count = world.query_count;
   world.plan.start_term(world.now, 2);
   world.run(200);
-  assert!(world.query_count > asked);
+  assert!(world.query_count > earlier_count);
 }
 
 #[test]
@@ -260,7 +266,7 @@
     ids.iter().map(|id| (id.as_str(), held, &[][..])).collect();
   let mut world = World::new(&["a"], &servers);
   world.run(1_000);
-  let mut told = BTreeSet::new();
+  let mut updated = BTreeSet::new();
   for _ in 0..20 {
     world.now += 10;
     for number in 0..20u16 {
@@ -286,13 +292,17 @@
     });
     let update: Vec<_> = update.collect();
     let holdings: usize = update.iter().map(|update| update.holdings.len()).sum();
-    assert!(holdings <= 8_000, "{holdings} at once");
-    told.extend(update.iter().filter_map(|update| update.to));
+    assert!(holdings <= 8_000, "{holdings} holdings in one step");
+    updated.extend(update.iter().filter_map(|update| update.to));
   }
-  assert!(told.len() >= 20, "{} instances were told", told.len());
+  assert!(
+    updated.len() >= 20,
+    "{} instances were updated",
+    updated.len()
+  );
 }
 
-fn seen(model: &str, slowness: f32) -> Sample {
+fn sample(model: &str, slowness: f32) -> Sample {
   Sample {
     pool: "pool".into(),
     model: model.into(),
@@ -310,8 +320,8 @@
     );
     world.running = vec![("one".into(), "a".into(), 1)];
     world.run(300);
-    // As many requests for another model: neither has more than its share.
-    world.strain = vec![seen("a", slowness), seen("b", 0.05)];
+    // Another model has as many requests, so neither exceeds its share.
+    world.strain = vec![sample("a", slowness), sample("b", 0.05)];
     world.waiting = vec![("d".into(), 1)];
     world.run(3_000);
     assert!(world.holds("two", "d"));
@@ -327,7 +337,7 @@
   assert_eq!(world.loads(), [("one".to_string(), "d".to_string())]);
   world.plan.set_ordering(false);
   world.waiting = vec![("e".into(), 1)];
-  let mut told = false;
+  let mut published = false;
   for _ in 0..200 {
     world.now += 10;
     world.report();
@@ -337,7 +347,7 @@
         Effect::Query { id, .. } => world.respond_to_query(&id),
         Effect::Publish(update) => {
           let held = update.holdings.iter();
-          told |= held
+          published |= held
             .clone()
             .any(|(_, holding)| holding.models.contains_key("d"));
         }
@@ -345,7 +355,7 @@
       }
     }
   }
-  assert!(told);
+  assert!(published);
   world.plan.set_ordering(true);
   world.run(400);
   assert_eq!(world.loads()[1], ("one".to_string(), "e".to_string()));
@@ -397,10 +407,10 @@
     &[("one", &["a"], &[]), ("two", &["b", "c", "e"], &["a"])],
   );
   world.running = vec![("one".into(), "a".into(), 4)];
-  world.strain = vec![seen("a", 0.05)];
+  world.strain = vec![sample("a", 0.05)];
   world.run(60_000);
   assert!(world.holds("two", "a"));
-  assert!(world.holds("one", "a"), "neither is let go");
+  assert!(world.holds("one", "a"), "neither replica is unloaded");
 }
 
 #[test]
@@ -411,21 +421,22 @@
   );
   world.run(300);
   world.running = vec![("one".into(), "a".into(), 1)];
-  world.strain = vec![seen("a", 0.05), seen("a", 0.05), seen("b", 0.05)];
+  world.strain = vec![sample("a", 0.05), sample("a", 0.05), sample("b", 0.05)];
   world.run(2_000);
   assert!(world.holds("two", "a"));
 }
 
-/// Servers that hold model `d` or load it, at the most so far.
-fn most_of_d(world: &mut World, ms: u64) -> usize {
-  let mut most = 0;
+/// Runs for `ms` milliseconds and returns the largest number of servers that held or were loading
+/// model `d` at a time.
+fn max_replicas_of_d(world: &mut World, ms: u64) -> usize {
+  let mut max = 0;
   for _ in 0..ms / 10 {
     world.run(10);
     let holds =
       |server: &&Server| server.held.contains_key("d") || server.loading.as_deref() == Some("d");
-    most = most.max(world.servers.values().filter(holds).count());
+    max = max.max(world.servers.values().filter(holds).count());
   }
-  most
+  max
 }
 
 #[test]
@@ -439,16 +450,16 @@
       ("four", &["a"], &["d"]),
     ],
   );
-  let two = r#"{ "models": { "matchLabels": { "model": "d" } }, "maxReplicas": 2 }"#;
-  let policies = [("two".to_string(), serde_json::from_str(two).unwrap())];
+  let policy = r#"{ "models": { "matchLabels": { "model": "d" } }, "maxReplicas": 2 }"#;
+  let policies = [("two".to_string(), serde_json::from_str(policy).unwrap())];
   world.plan.update_policies(policies.into_iter().collect());
-  // So many that several loads at once would be begun.
+  // Enough requests to start several loads concurrently.
   world.waiting = vec![("d".into(), 200)];
-  assert_eq!(most_of_d(&mut world, 3_000), 2);
+  assert_eq!(max_replicas_of_d(&mut world, 3_000), 2);
 }
 
-/// Four servers, two of which hold `d`, which two may hold; their entries go without a word
-/// and come back later.
+/// Four servers, two of which hold `d`, with at most two replicas of `d` allowed. Tests remove the
+/// entries of servers without notice and restore them later.
 fn bounded_world() -> World {
   let mut world = World::new(
     &["a", "d"],
@@ -459,8 +470,8 @@
       ("four", &["a", "d"], &["d"]),
     ],
   );
-  let two = r#"{ "models": { "matchLabels": { "model": "d" } }, "maxReplicas": 2 }"#;
-  let policies = [("two".to_string(), serde_json::from_str(two).unwrap())];
+  let policy = r#"{ "models": { "matchLabels": { "model": "d" } }, "maxReplicas": 2 }"#;
+  let policies = [("two".to_string(), serde_json::from_str(policy).unwrap())];
   world.plan.update_policies(policies.into_iter().collect());
   world.run(500);
   world.waiting = vec![("d".into(), 6)];
@@ -473,9 +484,9 @@
   world.list_servers(&[]);
   world.run(800);
   world.list_servers(&["one", "two"]);
-  assert_eq!(most_of_d(&mut world, 200), 2);
+  assert_eq!(max_replicas_of_d(&mut world, 200), 2);
   world.list_servers(&["one", "two", "three", "four"]);
-  assert_eq!(most_of_d(&mut world, 3_000), 2);
+  assert_eq!(max_replicas_of_d(&mut world, 3_000), 2);
 }
 
 #[test]
@@ -484,7 +495,7 @@
   world.ended = ["three", "four"].map(String::from).into();
   world.list_servers(&["one", "two"]);
   world.run(300);
-  assert!(!world.loads().is_empty(), "d is loaded again at once");
+  assert!(!world.loads().is_empty(), "d is loaded again immediately");
 }
 
 #[test]
@@ -505,23 +516,23 @@
   while world.loads().is_empty() {
     world.run(10);
   }
-  // The entry states what is held, not what is being loaded.
+  // The entry lists the models that are loaded, not those that are being loaded.
   world.list_servers(&[]);
   world.run(100);
   world.list_servers(&["one", "two", "three", "four"]);
-  assert_eq!(most_of_d(&mut world, 3_000), 2);
+  assert_eq!(max_replicas_of_d(&mut world, 3_000), 2);
 }
 
-/// A new holder of the bounded world, whose entries are older than the loads of the model; two
-/// servers leave questions open.
-fn taken_over() -> World {
+/// The bounded world with a new holder. The entries of the servers predate the loads of `d`, and
+/// two servers do not answer queries.
+fn world_after_takeover() -> World {
   let mut world = bounded_world();
   for id in ["three", "four"] {
     world.servers.get_mut(id).unwrap().spec.models.remove("d");
   }
   world.plan = Plan::new("10.0.0.2", 0, 5_000, 1.0);
-  let two = r#"{ "models": { "matchLabels": { "model": "d" } }, "maxReplicas": 2 }"#;
-  let policies = [("two".to_string(), serde_json::from_str(two).unwrap())];
+  let policy = r#"{ "models": { "matchLabels": { "model": "d" } }, "maxReplicas": 2 }"#;
+  let policies = [("two".to_string(), serde_json::from_str(policy).unwrap())];
   world.plan.update_policies(policies.into_iter().collect());
   world.plan.start_term(world.now, 2);
   let specs = world.servers.values().map(|server| server.spec.clone());
@@ -534,17 +545,17 @@
 
 #[test]
 fn a_new_holder_counts_servers_that_it_has_not_asked() {
-  let mut world = taken_over();
+  let mut world = world_after_takeover();
   world.run(400);
   assert!(world.loads().is_empty(), "{:?}", world.loads());
 }
 
-// A new holder asked the servers that held the model, under load, and two of them answered
-// nothing: they counted as if they held none, as their entries of before said, and a third
-// server loaded a model that two may hold.
+// Guards against exceeding the replica limit after a takeover under load: two servers that held
+// the model did not answer the queries of the new holder and were counted by their outdated entries
+// as not holding it, so a third server loaded a model that is limited to two replicas.
 #[test]
 fn a_server_that_leaves_a_question_unanswered_still_counts_for_the_bound() {
-  let mut world = taken_over();
+  let mut world = world_after_takeover();
   world.run(100);
   for id in ["three", "four"] {
     world
@@ -557,13 +568,13 @@
 
 #[test]
 fn a_server_that_was_not_heard_counts_when_its_entry_goes() {
-  let mut world = taken_over();
+  let mut world = world_after_takeover();
   world.run(100);
   world.list_servers(&["one", "two"]);
   world.run(1_800);
   assert!(world.loads().is_empty(), "{:?}", world.loads());
   world.run(700);
-  assert!(!world.loads().is_empty(), "its entry did not come back");
+  assert!(!world.loads().is_empty(), "the entry was not restored");
 }
 
 #[test]
@@ -581,12 +592,13 @@
   }
   assert!(world.loads().is_empty(), "{:?}", world.loads());
   world.run(1_200);
-  assert!(!world.loads().is_empty(), "its entry did not come back");
+  assert!(!world.loads().is_empty(), "the entry was not restored");
 }
 
-// A load was taken as done after 149 ms, and was not: seven requests met its server without the
-// model, the server was asked and answered while the load was still under way. It held nothing
-// then as far as was known, and a third server loaded what two may hold, 100 ms later.
+// Guards against exceeding the replica limit when a load is assumed complete too early: one was
+// assumed complete after 149 ms, seven requests did not find the model, and the server answered a
+// query while still loading. It was then counted as holding nothing, and 100 ms later a third
+// server loaded a model that is limited to two replicas.
 #[test]
 fn a_server_that_loads_something_unknown_counts_for_the_bound() {
   let mut world = bounded_world();
@@ -601,7 +613,7 @@
       queued: 0,
       running: 0,
     };
-    // The second answer is to a question of whose answer nothing was known.
+    // The second inventory answers a query whose outcome was unknown.
     for _ in 0..2 {
       world
         .plan
@@ -612,15 +624,15 @@
   assert!(world.loads().is_empty(), "{:?}", world.loads());
 }
 
-/// Where much is to be published, publications lie apart. An unload that did not wait for its
-/// own met requests of instances that had not heard of it: at 295 instances, 8,272 of 8,340
-/// sends that found no model went where its unload had been ordered.
+/// With much to publish, publications are spaced out. An unload that did not wait for its own
+/// publication affected requests of instances that did not know of it: at 295 instances, 8,272 of
+/// 8,340 sends that did not find the model went to a server that had been ordered to unload it.
 #[test]
 fn a_model_is_unloaded_only_after_instances_heard_that_it_leaves() {
-  for pause in [10, 100, 400] {
+  for interval_ms in [10, 100, 400] {
     let mut world = World::new(&["a", "b", "c", "d"], &[("one", &["a", "b", "c"], &["d"])]);
     world.run(1_000);
-    world.plan.set_publish_interval(pause);
+    world.plan.set_publish_interval(interval_ms);
     world.plan.request_publish();
     world.plan.step(world.now);
     world.waiting = vec![("d".into(), 1)];
@@ -628,7 +640,7 @@
     let ordered = (0..200).find_map(|_| {
       world.now += 10;
       world.report();
-      world.plan.set_publish_interval(pause);
+      world.plan.set_publish_interval(interval_ms);
       let effects = world.plan.step(world.now);
       let lacks = |effect: &Effect| match effect {
         Effect::Publish(update) => update
@@ -646,18 +658,18 @@
       orders.then_some(world.now)
     });
     let (published, ordered) = (published.expect("published"), ordered.expect("ordered"));
-    let ahead = ordered.saturating_sub(published);
-    // What is published goes out within the pause.
-    let heard = 20..=pause + 60;
+    let lead_ms = ordered.saturating_sub(published);
+    // A publication is sent within the publish interval.
+    let expected = 20..=interval_ms + 60;
     assert!(
-      heard.contains(&ahead),
-      "pause {pause}: {published} {ordered}"
+      expected.contains(&lead_ms),
+      "interval {interval_ms} ms: published at {published}, ordered at {ordered}"
     );
   }
 }
 
-/// What waits to be sent must go out before more is published: with a publication each 500 ms
-/// whatever waited, the queue to 295 instances came to seconds, and loads were known 7 s late.
+/// Pending datagrams must be sent before the next publication. Publishing every 500 ms regardless
+/// of the queue delayed datagrams to 295 instances by seconds, and loads became known 7 s late.
 #[test]
 fn nothing_is_published_before_the_last_publication_has_gone_out() {
   let mut world = World::new(&["a", "d"], &[("one", &["a"], &["d"])]);
@@ -677,15 +689,15 @@
       }
     }
   }
-  // To all, and to the one instance that lacks something.
+  // One publication goes to all instances, another to the instance that lacks changes.
   published.dedup();
   assert!(published.len() >= 3, "{published:?}");
-  let apart = |pair: &[u64]| pair[1] - pair[0] >= 1_500;
-  assert!(published[1..].windows(2).all(apart), "{published:?}");
+  let spaced = |pair: &[u64]| pair[1] - pair[0] >= 1_500;
+  assert!(published[1..].windows(2).all(spaced), "{published:?}");
 }
 
-/// The holder loaded models onto servers that had just asked for less, and a model that only such
-/// a server held was loaded nowhere, however many requests waited for it.
+/// Guards against loading models onto servers that have just announced a limit, and against never
+/// loading a model elsewhere that only such a server holds, however many requests wait for it.
 #[test]
 fn what_waits_for_a_model_of_a_server_in_need_has_it_loaded_elsewhere() {
   let servers: &[(&str, &[&str], &[&str])] = &[
@@ -695,9 +707,12 @@
   let mut world = World::new(&["a", "d", "e"], servers);
   world.waiting = vec![("d".into(), 1)];
   world.run(300);
-  assert!(world.orders.is_empty(), "its server takes what waits");
-  let needy = world.servers["needy"].spec.life();
-  world.plan.update_limited(&BTreeSet::from([needy]));
+  assert!(
+    world.orders.is_empty(),
+    "the server that holds the model accepts the waiting requests"
+  );
+  let limited_life = world.servers["needy"].spec.life();
+  world.plan.update_limited(&BTreeSet::from([limited_life]));
   for (until, model) in [(1_500, "d"), (2_700, "e")] {
     world.waiting = vec![(model.into(), 1)];
     world.run(until);
@@ -709,8 +724,8 @@
 #[test]
 fn a_server_in_need_takes_a_load_that_no_other_can_take() {
   let mut world = World::new(&["a", "d"], &[("needy", &["a"], &["d"])]);
-  let needy = world.servers["needy"].spec.life();
-  world.plan.update_limited(&BTreeSet::from([needy]));
+  let limited_life = world.servers["needy"].spec.life();
+  world.plan.update_limited(&BTreeSet::from([limited_life]));
   world.waiting = vec![("d".into(), 1)];
   world.run(1_500);
   assert_eq!(world.loads(), [("needy".to_string(), "d".to_string())]);
@@ -749,7 +764,10 @@
   let mut world = World::new(&["a", "d"], servers);
   world.waiting = vec![("d".into(), 1)];
   world.run(300);
-  assert!(world.orders.is_empty(), "its server takes what waits");
+  assert!(
+    world.orders.is_empty(),
+    "the server that holds the model accepts the waiting requests"
+  );
   world.backing_off = vec!["tired".into()];
   world.run(1_500);
   assert_eq!(world.loads(), [("sound".to_string(), "d".to_string())]);
--- a/tests/policies.rs
+++ b/tests/policies.rs
@@ -1,4 +1,4 @@
-//! Policies: selection, precedence, slices, keep-alive, comparison.
+//! Policies: selectors, precedence, slices, keep-alive and comparison.
 
 use bendsaddle::{
   catalog::{Catalog, Model},
@@ -37,12 +37,12 @@
     json!({ "matchLabels": { "site": "pe" } }),
     &office
   ));
-  let form = |operator: &str, values: &[&str]| json!({ "matchExpressions": [{ "key": "tier", "operator": operator, "values": values }] });
-  assert!(selects(form("In", &["gold", "iron"]), &office));
-  assert!(!selects(form("NotIn", &["gold"]), &office));
-  assert!(selects(form("NotIn", &["gold"]), &[("site", "sk")]));
-  assert!(selects(form("Exists", &[]), &office));
-  assert!(selects(form("DoesNotExist", &[]), &[("site", "sk")]));
+  let expression = |operator: &str, values: &[&str]| json!({ "matchExpressions": [{ "key": "tier", "operator": operator, "values": values }] });
+  assert!(selects(expression("In", &["gold", "iron"]), &office));
+  assert!(!selects(expression("NotIn", &["gold"]), &office));
+  assert!(selects(expression("NotIn", &["gold"]), &[("site", "sk")]));
+  assert!(selects(expression("Exists", &[]), &office));
+  assert!(selects(expression("DoesNotExist", &[]), &[("site", "sk")]));
 }
 
 fn catalog(policies: &[(&str, serde_json::Value)]) -> Catalog {
@@ -62,7 +62,7 @@
   }
 }
 
-fn ruler(catalog: &Catalog, model: &Model, caller: u64) -> Option<String> {
+fn policy_name(catalog: &Catalog, model: &Model, caller: u64) -> Option<String> {
   catalog
     .policy(model, caller)
     .map(|(name, _)| name.to_string())
@@ -79,11 +79,11 @@
     ),
   ]);
   assert_eq!(
-    ruler(&catalog, &model(&[("site", "pe")]), 0).as_deref(),
+    policy_name(&catalog, &model(&[("site", "pe")]), 0).as_deref(),
     Some("c")
   );
   assert_eq!(
-    ruler(&catalog, &model(&[("site", "sk")]), 0).as_deref(),
+    policy_name(&catalog, &model(&[("site", "sk")]), 0).as_deref(),
     Some("a")
   );
 }
@@ -101,7 +101,7 @@
   let under = |name: &str| {
     let callers = 0..100_u64;
     callers
-      .filter(|caller| ruler(&catalog, &model, *caller).as_deref() == Some(name))
+      .filter(|caller| policy_name(&catalog, &model, *caller).as_deref() == Some(name))
       .count()
   };
   assert_eq!((under("new"), under("old")), (30, 70));
@@ -109,23 +109,23 @@
 
 #[test]
 fn faulty_policies_are_told_field_and_value() {
-  let fault = |value: serde_json::Value| {
+  let error = |value: serde_json::Value| {
     let name = Name::new(Kind::Policy, "x");
     Catalog::check(&name, Some(&value.to_string())).unwrap_err()
   };
-  assert!(fault(json!({ "maxReplicas": 1, "minReplicas": 2 })).contains("maxReplicas: `1`"));
-  assert!(fault(json!({ "slice": { "from": 9, "to": 5 } })).contains("slice: `9..5`"));
-  assert!(fault(json!({ "furtherAt": 0 })).contains("furtherAt: `0`"));
-  assert!(fault(json!({ "keepAliv": 0 })).contains("unknown field `keepAliv`"));
-  let form = json!([{ "key": "a", "operator": "In" }]);
-  assert!(fault(json!({ "models": { "matchExpressions": form } })).contains("operator `In`"));
+  assert!(error(json!({ "maxReplicas": 1, "minReplicas": 2 })).contains("maxReplicas: `1`"));
+  assert!(error(json!({ "slice": { "from": 9, "to": 5 } })).contains("slice: `9..5`"));
+  assert!(error(json!({ "furtherAt": 0 })).contains("furtherAt: `0`"));
+  assert!(error(json!({ "keepAliv": 0 })).contains("unknown field `keepAliv`"));
+  let expression = json!([{ "key": "a", "operator": "In" }]);
+  assert!(error(json!({ "models": { "matchExpressions": expression } })).contains("operator `In`"));
   let server = json!({ "address": "host:80", "zone": "a", "memoryMb": 1, "slots": 1,
     "fencing": true });
   let name = Name::new(Kind::Server, "x");
-  let fault = Catalog::check(&name, Some(&server.to_string())).unwrap_err();
+  let error = Catalog::check(&name, Some(&server.to_string())).unwrap_err();
   assert!(
-    fault.contains("address: `host:80` is not ip:port"),
-    "{fault}"
+    error.contains("address: `host:80` is not ip:port"),
+    "{error}"
   );
 }
 
@@ -134,16 +134,16 @@
   let good = json!({ "instance": "a", "zone": "z", "callers": "127.0.0.1:0",
     "peers": "127.0.0.1:0", "operators": "127.0.0.1:0", "platform": "127.0.0.1:1" });
   assert!(Settings::parse(&format!("// a comment\n{good}")).is_ok());
-  let fault = |field: &str, value: serde_json::Value| {
+  let error = |field: &str, value: serde_json::Value| {
     let mut settings = good.clone();
     settings[field] = value;
     Settings::parse(&settings.to_string()).unwrap_err()
   };
-  assert!(fault("platform", json!("nowhere")).contains("platform: `nowhere`"));
-  assert!(fault("instance", json!("a/b")).contains("instance: `a/b`"));
-  assert!(fault("limits", json!({ "queue": 0 })).contains("limits.queue: `0`"));
-  assert!(fault("limits", json!({ "thrift": 101 })).contains("limits.thrift: `101`"));
-  assert!(fault("limits", json!({ "quue": 1 })).contains("unknown field `quue`"));
+  assert!(error("platform", json!("nowhere")).contains("platform: `nowhere`"));
+  assert!(error("instance", json!("a/b")).contains("instance: `a/b`"));
+  assert!(error("limits", json!({ "queue": 0 })).contains("limits.queue: `0`"));
+  assert!(error("limits", json!({ "thrift": 101 })).contains("limits.thrift: `101`"));
+  assert!(error("limits", json!({ "quue": 1 })).contains("unknown field `quue`"));
 }
 
 #[test]
@@ -191,11 +191,11 @@
     ("c".to_string(), 1),
   ]);
   let shares = divide(&[(Id(1), 8), (Id(2), 4)], &demand, 0);
-  let of = |id: u64| {
+  let slots_of = |id: u64| {
     let shares = shares.iter().filter(|(replica, ..)| *replica == Id(id));
     shares.map(|(.., slots)| slots).sum::<u32>()
   };
-  assert_eq!((of(1), of(2)), (8, 4));
+  assert_eq!((slots_of(1), slots_of(2)), (8, 4));
   let a: u32 = shares
     .iter()
     .filter(|(_, who, _)| who == "a")
@@ -207,13 +207,13 @@
 #[test]
 fn turns_let_everyone_have_the_only_slot() {
   let demand: BTreeMap<String, u32> = ["a", "b", "c"].map(|who| (who.to_string(), 1)).into();
-  let mut lucky: Vec<String> = (0..3)
+  let mut winners: Vec<String> = (0..3)
     .flat_map(|turn| divide(&[(Id(1), 1)], &demand, turn))
     .filter(|(.., slots)| *slots == 1)
     .map(|(_, who, _)| who)
     .collect();
-  lucky.sort();
-  assert_eq!(lucky, ["a", "b", "c"]);
+  winners.sort();
+  assert_eq!(winners, ["a", "b", "c"]);
 }
 
 #[test]
--- a/tests/pool.rs
+++ b/tests/pool.rs
@@ -1,4 +1,4 @@
-//! Pools of threads: as many as there is work for, and closures are run once, in order.
+//! Thread pools: threads are started as needed up to a limit, and closures run once, in order.
 
 use bendsaddle::pool::Pool;
 use std::{
@@ -11,8 +11,8 @@
   time::Duration,
 };
 
-/// Longest wait for something that should happen.
-const SOON: Duration = Duration::from_secs(20);
+/// Longest wait for an expected event.
+const TIMEOUT: Duration = Duration::from_secs(20);
 
 #[test]
 fn closures_wait_for_none_but_the_bound() {
@@ -22,28 +22,28 @@
     let all = all.clone();
     pool.run(move || _ = all.wait());
   }
-  // Returns only where three run at once.
+  // Returns only if three closures run concurrently.
   all.wait();
 }
 
 #[test]
 fn a_pool_starts_no_more_threads_than_its_bound() {
   let pool = Pool::spawn("p", 2).unwrap();
-  let (running, most) = (Arc::new(AtomicUsize::new(0)), Arc::new(AtomicUsize::new(0)));
+  let (running, max_running) = (Arc::new(AtomicUsize::new(0)), Arc::new(AtomicUsize::new(0)));
   let (done, finished) = channel();
   for _ in 0..50 {
-    let (running, most, done) = (running.clone(), most.clone(), done.clone());
+    let (running, max_running, done) = (running.clone(), max_running.clone(), done.clone());
     pool.run(move || {
-      most.fetch_max(running.fetch_add(1, Ordering::SeqCst) + 1, Ordering::SeqCst);
+      max_running.fetch_max(running.fetch_add(1, Ordering::SeqCst) + 1, Ordering::SeqCst);
       thread::sleep(Duration::from_millis(1));
       running.fetch_sub(1, Ordering::SeqCst);
       done.send(()).unwrap();
     });
   }
   for _ in 0..50 {
-    finished.recv_timeout(SOON).unwrap();
+    finished.recv_timeout(TIMEOUT).unwrap();
   }
-  assert_eq!(most.load(Ordering::SeqCst), 2);
+  assert_eq!(max_running.load(Ordering::SeqCst), 2);
 }
 
 #[test]
@@ -55,7 +55,7 @@
     pool.run(move || done.send(number).unwrap());
   }
   let order: Vec<i32> = (0..100)
-    .map(|_| finished.recv_timeout(SOON).unwrap())
+    .map(|_| finished.recv_timeout(TIMEOUT).unwrap())
     .collect();
   assert_eq!(order, (0..100).collect::<Vec<i32>>());
 }
@@ -64,10 +64,10 @@
 fn what_was_given_to_a_pool_is_run_after_it_was_dropped() {
   let pool = Pool::spawn("p", 1).unwrap();
   let (done, finished) = channel();
-  let (go_on, held) = channel::<()>();
-  pool.run(move || _ = held.recv());
+  let (release, blocked) = channel::<()>();
+  pool.run(move || _ = blocked.recv());
   pool.run(move || done.send(()).unwrap());
   drop(pool);
-  go_on.send(()).unwrap();
-  finished.recv_timeout(SOON).unwrap();
+  release.send(()).unwrap();
+  finished.recv_timeout(TIMEOUT).unwrap();
 }
--- a/tests/quarantine.rs
+++ b/tests/quarantine.rs
@@ -1,4 +1,4 @@
-//! Which of the requests that were on crashed servers is to blame, and what follows for it.
+//! Detection of requests that crash backend servers, and their quarantine.
 
 mod requests;
 
@@ -21,10 +21,10 @@
 use requests::refused;
 use std::{collections::BTreeSet, sync::Arc};
 
-const GUILTY: u128 = 1;
-const BESIDE: u128 = 2;
+const CULPRIT: u128 = 1;
+const BYSTANDER: u128 = 2;
 
-/// A run of a content at a server that crashed.
+/// A run of a request content on a server that crashed.
 fn crash(content: u128, server: u64, run: u32) -> Crash {
   Crash {
     content: content::Key(content),
@@ -34,46 +34,50 @@
   }
 }
 
-fn judged(registry: &mut Registry, now: u64) -> Vec<u128> {
+fn culprits(registry: &mut Registry, now: u64) -> Vec<u128> {
   let found = registry.find_culprits(now);
-  found.iter().map(|sentence| sentence.content.0).collect()
+  found.iter().map(|culprit| culprit.content.0).collect()
 }
 
 #[test]
 fn two_crashes_speak_against_nobody() {
   let mut registry = Registry::default();
-  registry.add(0, &[crash(GUILTY, 1, 1), crash(GUILTY, 2, 2)]);
-  assert_eq!(judged(&mut registry, 10_000), Vec::<u128>::new());
+  registry.add(0, &[crash(CULPRIT, 1, 1), crash(CULPRIT, 2, 2)]);
+  assert_eq!(culprits(&mut registry, 10_000), Vec::<u128>::new());
 }
 
 #[test]
 fn many_runs_at_one_server_are_one_crash() {
   let mut registry = Registry::default();
-  let runs: Vec<Crash> = (0..20).map(|run| crash(GUILTY, 1, run)).collect();
+  let runs: Vec<Crash> = (0..20).map(|run| crash(CULPRIT, 1, run)).collect();
   registry.add(0, &runs);
-  assert_eq!(judged(&mut registry, 10_000), Vec::<u128>::new());
+  assert_eq!(culprits(&mut registry, 10_000), Vec::<u128>::new());
 }
 
 #[test]
 fn a_crash_that_is_reported_again_counts_once() {
   let mut registry = Registry::default();
   for _ in 0..5 {
-    registry.add(0, &[crash(GUILTY, 1, 1), crash(GUILTY, 2, 1)]);
+    registry.add(0, &[crash(CULPRIT, 1, 1), crash(CULPRIT, 2, 1)]);
   }
-  assert_eq!(judged(&mut registry, 10_000), Vec::<u128>::new());
+  assert_eq!(culprits(&mut registry, 10_000), Vec::<u128>::new());
 }
 
 #[test]
 fn the_third_crash_is_enough() {
   let mut registry = Registry::default();
   for server in 1..=3 {
-    registry.add(server, &[crash(GUILTY, server, server as u32)]);
+    registry.add(server, &[crash(CULPRIT, server, server as u32)]);
   }
-  assert_eq!(judged(&mut registry, 4), vec![GUILTY]);
-  assert_eq!(judged(&mut registry, 5), Vec::<u128>::new(), "once");
-  let kept = registry.quarantined(5);
-  assert_eq!(kept.len(), 1);
-  assert_eq!(kept[0].content, content::Key(GUILTY));
+  assert_eq!(culprits(&mut registry, 4), vec![CULPRIT]);
+  assert_eq!(
+    culprits(&mut registry, 5),
+    Vec::<u128>::new(),
+    "reported once"
+  );
+  let quarantined = registry.quarantined(5);
+  assert_eq!(quarantined.len(), 1);
+  assert_eq!(quarantined[0].content, content::Key(CULPRIT));
 }
 
 #[test]
@@ -84,13 +88,13 @@
     registry.add(
       0,
       &[
-        crash(GUILTY, server, run),
-        crash(GUILTY, server, run + 10),
-        crash(BESIDE, server, run),
+        crash(CULPRIT, server, run),
+        crash(CULPRIT, server, run + 10),
+        crash(BYSTANDER, server, run),
       ],
     );
   }
-  assert_eq!(judged(&mut registry, 10_000), vec![GUILTY]);
+  assert_eq!(culprits(&mut registry, 10_000), vec![CULPRIT]);
 }
 
 #[test]
@@ -98,12 +102,15 @@
   let mut registry = Registry::default();
   for server in 1..=3 {
     let run = server as u32;
-    registry.add(0, &[crash(GUILTY, server, run), crash(BESIDE, server, run)]);
+    registry.add(
+      0,
+      &[crash(CULPRIT, server, run), crash(BYSTANDER, server, run)],
+    );
   }
-  assert_eq!(judged(&mut registry, 100), Vec::<u128>::new());
-  registry.add(200, &[crash(GUILTY, 4, 4)]);
-  assert_eq!(judged(&mut registry, 200), vec![GUILTY]);
-  assert_eq!(judged(&mut registry, 60_000), Vec::<u128>::new());
+  assert_eq!(culprits(&mut registry, 100), Vec::<u128>::new());
+  registry.add(200, &[crash(CULPRIT, 4, 4)]);
+  assert_eq!(culprits(&mut registry, 200), vec![CULPRIT]);
+  assert_eq!(culprits(&mut registry, 60_000), Vec::<u128>::new());
 }
 
 #[test]
@@ -111,25 +118,34 @@
   let mut registry = Registry::default();
   for server in 1..=3 {
     let run = server as u32;
-    registry.add(0, &[crash(GUILTY, server, run), crash(BESIDE, server, run)]);
+    registry.add(
+      0,
+      &[crash(CULPRIT, server, run), crash(BYSTANDER, server, run)],
+    );
   }
-  assert_eq!(judged(&mut registry, 2_900), vec![GUILTY, BESIDE]);
+  assert_eq!(culprits(&mut registry, 2_900), vec![CULPRIT, BYSTANDER]);
 }
 
 #[test]
 fn what_is_kept_from_servers_comes_to_an_end() {
   let mut registry = Registry::default();
-  let content = content::Key(GUILTY);
+  let content = content::Key(CULPRIT);
   let entry = |left_ms| Quarantined { content, left_ms };
   assert!(registry.quarantine(0, entry(1_000)));
-  assert!(!registry.quarantine(500, entry(1_000)), "known already");
+  assert!(
+    !registry.quarantine(500, entry(1_000)),
+    "already quarantined"
+  );
   assert!(registry.quarantined(1_000).is_empty());
-  assert!(registry.quarantine(1_000, entry(1_000)), "new again");
+  assert!(
+    registry.quarantine(1_000, entry(1_000)),
+    "quarantined anew after expiry"
+  );
 }
 
 quickcheck! {
-  /// Whatever is reported, in whatever order, a content with fewer than three crashes is
-  /// never kept from servers, and the registry stays bounded.
+  /// For any reports in any order, a content with fewer than three crashes is never quarantined,
+  /// and the registry stays bounded.
   fn nobody_is_blamed_for_fewer_than_three_crashes(reports: Vec<(u8, u8, u8)>) -> bool {
     let mut registry = Registry::default();
     let mut known: BTreeSet<(u8, u8)> = BTreeSet::new();
@@ -137,7 +153,7 @@
       let (content, server) = (content % 8, server % 16);
       registry.add(now as u64, &[crash(content.into(), server.into(), run.into())]);
       known.insert((content, server));
-      for found in judged(&mut registry, now as u64) {
+      for found in culprits(&mut registry, now as u64) {
         let crashes = known.iter().filter(|(content, _)| u128::from(*content) == found);
         if crashes.count() < 3 {
           return false;
@@ -182,7 +198,7 @@
   state
 }
 
-fn ask(ticket: u64, content: u128, repeat: Repeat) -> Event {
+fn arrived(ticket: u64, content: u128, repeat: Repeat) -> Event {
   Event::Arrived(Descriptor {
     ticket: Ticket(ticket),
     id: ticket.to_string(),
@@ -213,22 +229,22 @@
 fn what_is_kept_from_servers_is_refused_at_once_and_not_called_not_run() {
   for repeat in [Repeat::Always, Repeat::Never] {
     let mut state = state();
-    state.reduce(1, quarantine(GUILTY));
-    let effects = state.reduce(2, ask(1, GUILTY, repeat));
+    state.reduce(1, quarantine(CULPRIT));
+    let effects = state.reduce(2, arrived(1, CULPRIT, repeat));
     let refusal = refused(&effects).expect("a refusal");
     assert_eq!(refusal.reason, Reason::Quarantined);
     assert_eq!(refusal.verdict, Verdict::MayHaveRun);
     assert_eq!(refusal.retry_after, None);
-    assert!(sends(&state.reduce(3, ask(2, BESIDE, repeat))));
-    // Its time is over.
-    assert!(sends(&state.reduce(10_001, ask(3, GUILTY, repeat))));
+    assert!(sends(&state.reduce(3, arrived(2, BYSTANDER, repeat))));
+    // The quarantine has expired.
+    assert!(sends(&state.reduce(10_001, arrived(3, CULPRIT, repeat))));
   }
 }
 
 #[test]
 fn a_run_that_ended_with_its_server_is_reported_and_begun_again_elsewhere() {
   let mut state = state();
-  state.reduce(1, ask(1, GUILTY, Repeat::Always));
+  state.reduce(1, arrived(1, CULPRIT, Repeat::Always));
   let ticket = Ticket(1);
   let end = End::Crashed;
   let effects = state.reduce(2, Event::Ended { ticket, end });
@@ -236,19 +252,19 @@
   assert!(sends(&effects));
   let crashes = state.take_crashes();
   assert_eq!(crashes.len(), 1);
-  assert_eq!(crashes[0].content, content::Key(GUILTY));
+  assert_eq!(crashes[0].content, content::Key(CULPRIT));
   assert!(state.take_crashes().is_empty());
 }
 
 #[test]
 fn a_repeat_that_was_decided_is_not_sent_once_it_is_kept_from_servers() {
   let mut state = state();
-  let effects = state.reduce(1, ask(1, GUILTY, Repeat::Always));
+  let effects = state.reduce(1, arrived(1, CULPRIT, Repeat::Always));
   let Some(Effect::Send(attempt)) = effects.first().cloned() else {
-    panic!("a send: {effects:?}");
+    panic!("expected a send: {effects:?}");
   };
   assert_eq!(state.abort_reason(&attempt), None);
-  state.reduce(2, quarantine(GUILTY));
+  state.reduce(2, quarantine(CULPRIT));
   assert_eq!(state.abort_reason(&attempt), Some(End::Leaving));
   let ticket = attempt.ticket;
   let end = End::Leaving;
@@ -294,13 +310,17 @@
 #[test]
 fn what_is_kept_from_servers_outlasts_all_instances() {
   let entry = Quarantined {
-    content: content::Key(GUILTY),
+    content: content::Key(CULPRIT),
     left_ms: 60_000,
   };
   let mut holder = Stored::default();
   let read = holder.call(0, 1_000, true, &[]).expect("a read first");
   assert_eq!(read, Call::Read);
-  assert_eq!(holder.call(0, 1_000, true, &[entry]), None, "one at a time");
+  assert_eq!(
+    holder.call(0, 1_000, true, &[entry]),
+    None,
+    "one call at a time"
+  );
   assert_eq!(
     holder.answered(1, &read, Err(Error::Absent { era: 0 })),
     None
@@ -308,7 +328,7 @@
   assert_eq!(
     holder.call(2, 1_000, false, &[entry]),
     None,
-    "others write nothing"
+    "only the holder writes"
   );
   let write = holder.call(2, 1_000, true, &[entry]).expect("a write");
   let Call::Write { record, revision } = write.clone() else {
@@ -319,9 +339,9 @@
   holder.answered(3, &write, Ok(object(7, spec.clone())));
   assert_eq!(holder.call(4, 1_000, true, &[entry]), None, "written once");
 
-  let mut later = Stored::default();
-  let read = later.call(0, 21_000, false, &[]).expect("a read");
-  let found = later
+  let mut successor = Stored::default();
+  let read = successor.call(0, 21_000, false, &[]).expect("a read");
+  let found = successor
     .answered(1, &read, Ok(object(7, spec)))
     .expect("a record");
   let found = found.quarantined(21_000);
@@ -330,13 +350,16 @@
     (found[0].content, found[0].left_ms),
     (entry.content, 40_000)
   );
-  assert!(record.quarantined(61_001).is_empty(), "its time is over");
+  assert!(
+    record.quarantined(61_001).is_empty(),
+    "the quarantine has expired"
+  );
 }
 
 #[test]
 fn a_write_without_answer_is_looked_at_before_the_next() {
   let entry = Quarantined {
-    content: content::Key(GUILTY),
+    content: content::Key(CULPRIT),
     left_ms: 60_000,
   };
   for error in [Error::NoAnswer, Error::Conflict, Error::Refused(503)] {
@@ -345,27 +368,33 @@
     stored.answered(0, &read, Err(Error::Absent { era: 0 }));
     let write = stored.call(0, 0, true, &[entry]).unwrap();
     stored.answered(0, &write, Err(error));
-    assert_eq!(stored.call(1, 0, true, &[entry]), None, "a pause");
+    assert_eq!(
+      stored.call(1, 0, true, &[entry]),
+      None,
+      "calls pause after an error"
+    );
     assert_eq!(stored.call(3_000, 0, true, &[entry]), Some(Call::Read));
   }
 }
 
 #[test]
 fn what_is_kept_from_servers_is_written_again_after_the_stores_return() {
-  let kept = |content| Quarantined {
+  let quarantined = |content| Quarantined {
     content: content::Key(content),
     left_ms: 60_000,
   };
   let released = Record {
     entries: vec![Entry {
-      content: content::Key(GUILTY + 1).to_string(),
+      content: content::Key(CULPRIT + 1).to_string(),
       until_ms: 60_000,
     }],
   };
   let mut holder = Stored::default();
   let read = holder.call(0, 0, true, &[]).expect("a read first");
   holder.answered(0, &read, Err(Error::Absent { era: 1 }));
-  let write = holder.call(0, 0, true, &[kept(GUILTY)]).expect("a write");
+  let write = holder
+    .call(0, 0, true, &[quarantined(CULPRIT)])
+    .expect("a write");
   let written = Object {
     revision: Revision { era: 1, number: 7 },
     ..object(7, serde_json::Value::Null)
@@ -373,12 +402,14 @@
   holder.answered(0, &write, Ok(written.clone()));
   holder.set_era(1);
   assert_eq!(
-    holder.call(1, 0, true, &[kept(GUILTY)]),
+    holder.call(1, 0, true, &[quarantined(CULPRIT)]),
     None,
-    "it is there"
+    "the entry is already stored"
   );
   holder.set_era(2);
-  let read = holder.call(2, 0, true, &[kept(GUILTY)]).expect("a read");
+  let read = holder
+    .call(2, 0, true, &[quarantined(CULPRIT)])
+    .expect("a read");
   assert_eq!(read, Call::Read);
   let copy = Object {
     revision: Revision { era: 2, number: 5 },
@@ -388,9 +419,11 @@
   assert_eq!(
     holder.answered(3, &read, Ok(copy)),
     None,
-    "the copy is older than what is known here"
+    "the restored copy is older than the local state"
   );
-  let write = holder.call(4, 0, true, &[kept(GUILTY)]).expect("a write");
+  let write = holder
+    .call(4, 0, true, &[quarantined(CULPRIT)])
+    .expect("a write");
   let Call::Write { record, revision } = &write else {
     panic!("{write:?}");
   };
@@ -398,13 +431,13 @@
   let contents: Vec<content::Key> = record
     .quarantined(0)
     .iter()
-    .map(|one| one.content)
+    .map(|entry| entry.content)
     .collect();
-  assert_eq!(contents, [content::Key(GUILTY)]);
+  assert_eq!(contents, [content::Key(CULPRIT)]);
 }
 
 quickcheck! {
-  /// Whatever another writer put there, nothing breaks, and nobody is kept from servers by it.
+  /// An invalid record of another writer causes no failure and quarantines nothing.
   fn a_record_of_another_writer_keeps_nothing_from_servers(text: String, until_ms: u64) -> bool {
     let specs = [
       serde_json::json!(text),
