--- a/tests/records.rs
+++ b/tests/records.rs
@@ -1,4 +1,4 @@
-//! Changes of the records, and what follows from repeating them.
+//! Changes to records and ledgers, including repeated ones.
 
 use bendsaddle::{
   ledger::{Change, Ledger, Rejection},
@@ -65,15 +65,16 @@
   assert_eq!(ledger.apply(&reserve(1, "a/1")), Ok(true));
   assert_eq!(ledger.apply(&unload(1, "b/1", true)), Ok(true));
   assert_eq!(ledger.apply(&release(1, "b/1")), Err(Rejection::InFlight));
-  let settle = Change::Deregister {
+  let deregister = Change::Deregister {
     replica: Id(1),
     orderer: "a/1".into(),
   };
-  assert_eq!(ledger.apply(&settle), Ok(true));
+  assert_eq!(ledger.apply(&deregister), Ok(true));
   assert_eq!(ledger.apply(&release(1, "b/1")), Ok(true));
 }
 
-/// Shrunk from a history of seed 2: both waited for the other to settle.
+/// Guards against a deadlock in which each process waits for the other to deregister (shrunk
+/// from a history of seed 2).
 #[test]
 fn two_processes_that_unload_one_replica_do_not_wait_for_each_other() {
   let mut ledger = Ledger::default();
@@ -92,7 +93,7 @@
   assert_eq!(ledger.apply(&reserve(1, "a/1")), Err(Rejection::Unloading));
 }
 
-/// Found by a trial of two policies: the second one never got a replica.
+/// Guards against a limit shared by two policies, where the second one never gets a replica.
 #[test]
 fn each_policy_has_a_limit_of_its_own() {
   let mut record = Record::default();
--- a/tests/reducer.rs
+++ b/tests/reducer.rs
@@ -1,34 +1,35 @@
-//! The reducer under arbitrary histories: losses, doubles, pauses, restarts.
+//! Property tests of the reducer under random histories with losses, duplicates, pauses and
+//! restarts.
 
 mod world;
 
 use quickcheck::{Arbitrary, Gen, QuickCheck};
-use world::{Weak, World};
+use world::{Defect, World};
 
-/// Histories for each seed, and steps of one.
+/// Number of histories per seed, and of steps per history.
 const HISTORIES: u64 = 500;
 const STEPS: usize = 600;
 
-fn faults(history: &[u16], weak: Option<Weak>) -> Vec<String> {
-  let mut world = World::open(weak);
+fn violations(history: &[u16], defect: Option<Defect>) -> Vec<String> {
+  let mut world = World::open(defect);
   for number in history {
     world.step(*number);
-    if !world.faults.is_empty() {
-      return world.faults;
+    if !world.violations.is_empty() {
+      return world.violations;
     }
   }
   world.settle();
-  if world.faults.is_empty() && world.held() != (0, 0) {
-    let (decided, reserved) = world.held();
-    world.faults.push(format!(
+  if world.violations.is_empty() && world.outstanding() != (0, 0) {
+    let (decided, reserved) = world.outstanding();
+    world.violations.push(format!(
       "left over: {decided} decided, {reserved} reserved: {}",
       world.describe()
     ));
   }
-  world.faults
+  world.violations
 }
 
-/// Steps of a history; shrinks by leaving out stretches of it.
+/// Steps of a history. Shrinks by removing ranges of steps.
 #[derive(Clone, Debug)]
 struct History(Vec<u16>);
 
@@ -42,22 +43,22 @@
     let length = steps.len();
     let sizes = [2, 4, 8, 16].map(|part| length / part);
     let sizes = sizes.into_iter().filter(|size| *size > 0);
-    let cuts = sizes.flat_map(move |size| (0..length).step_by(size).map(move |at| (at, size)));
-    Box::new(cuts.map(move |(at, size)| {
+    let removals = sizes.flat_map(move |size| (0..length).step_by(size).map(move |at| (at, size)));
+    Box::new(removals.map(move |(at, size)| {
       let end = (at + size).min(steps.len());
-      let kept = steps[..at].iter().chain(&steps[end..]);
-      Self(kept.copied().collect())
+      let remaining = steps[..at].iter().chain(&steps[end..]);
+      Self(remaining.copied().collect())
     }))
   }
 }
 
-fn hold(seed: u64) {
+fn check_histories(seed: u64) {
   fn property(history: History) -> bool {
-    let faults = faults(&history.0, None);
-    if !faults.is_empty() {
-      eprintln!("{} steps: {:?}", history.0.len(), faults.first());
+    let violations = violations(&history.0, None);
+    if !violations.is_empty() {
+      eprintln!("{} steps: {:?}", history.0.len(), violations.first());
     }
-    faults.is_empty()
+    violations.is_empty()
   }
   QuickCheck::new()
     .rng(Gen::from_size_and_seed(STEPS, seed))
@@ -68,17 +69,17 @@
 
 #[test]
 fn promises_hold_in_histories_of_seed_1() {
-  hold(1);
+  check_histories(1);
 }
 
 #[test]
 fn promises_hold_in_histories_of_seed_2() {
-  hold(2);
+  check_histories(2);
 }
 
 #[test]
 fn promises_hold_in_histories_of_seed_3() {
-  hold(3);
+  check_histories(3);
 }
 
 #[test]
@@ -88,45 +89,49 @@
     world.step(number);
   }
   world.settle();
-  assert_eq!(world.faults, Vec::<String>::new());
-  assert_eq!(world.answers(), 5);
+  assert_eq!(world.violations, Vec::<String>::new());
+  assert_eq!(world.answered_count(), 5);
 }
 
-/// Whether some history shows that the mechanism is missed.
-fn missed(weak: Weak) -> bool {
+/// Whether at least one history reveals the injected defect.
+fn detects(defect: Defect) -> bool {
   let mut generator = Gen::from_size_and_seed(STEPS, 4);
   (0..HISTORIES).any(|_| {
     let history = Vec::<u16>::arbitrary(&mut generator);
-    !faults(&history, Some(weak)).is_empty()
+    !violations(&history, Some(defect)).is_empty()
   })
 }
 
 #[test]
 fn the_check_notices_memory_reserved_past_capacity() {
-  assert!(missed(Weak::Memory));
+  assert!(detects(Defect::Memory));
 }
 
 #[test]
 fn the_check_notices_replicas_past_the_limit() {
-  assert!(missed(Weak::Limit));
+  assert!(detects(Defect::Limit));
 }
 
 #[test]
 fn a_load_order_that_outlives_its_sender_finds_its_memory_kept() {
   let mut world = World::unfenced(None);
-  world.late_order();
-  assert_eq!(world.faults, Vec::<String>::new());
+  world.deliver_late_load();
+  assert_eq!(world.violations, Vec::<String>::new());
 }
 
 #[test]
 fn the_check_notices_memory_freed_too_early() {
-  let mut world = World::unfenced(Some(Weak::InFlight));
-  world.late_order();
-  let noticed = |fault: &String| fault.contains("1 loaded, 0 decided");
-  assert!(world.faults.iter().any(noticed), "{:?}", world.faults);
+  let mut world = World::unfenced(Some(Defect::InFlight));
+  world.deliver_late_load();
+  let detected = |violation: &String| violation.contains("1 loaded, 0 decided");
+  assert!(
+    world.violations.iter().any(detected),
+    "{:?}",
+    world.violations
+  );
 }
 
 #[test]
 fn the_check_notices_forgotten_claims() {
-  assert!(missed(Weak::Claims));
+  assert!(detects(Defect::Claims));
 }
--- a/tests/replication.rs
+++ b/tests/replication.rs
@@ -1,5 +1,5 @@
-//! Changes of holdings reach other instances: a lost datagram is noticed, only what it
-//! carried is sent again, and nothing to an instance that lacks nothing.
+//! Replication of holdings to other instances: a lost datagram is detected, only its content is
+//! sent again, and nothing is sent again to an instance that is up to date.
 
 use bendsaddle::{
   backend::{Holding, Spec, Stage},
@@ -16,14 +16,14 @@
 
 const SERVERS: usize = 30;
 const TERM: u64 = 3;
-/// Time between two steps of the holder, ms.
+/// Interval between two steps of the holder, ms.
 const STEP_MS: u64 = 10;
-/// Time between two reports of an instance, ms.
+/// Interval between two reports of an instance, ms.
 const REPORT_MS: u64 = 300;
-/// Steps that a report takes to the holder: changes cross it.
-const CROSSED: u64 = 3;
+/// Steps until a report reaches the holder, which publishes changes in the meantime.
+const REPORT_DELAY_STEPS: u64 = 3;
 
-/// An instance that hears of holdings.
+/// An instance that receives holdings.
 #[derive(Default)]
 struct Instance {
   known: Position,
@@ -32,8 +32,8 @@
 }
 
 impl Instance {
-  /// Takes an update up, but for the datagrams that are lost.
-  fn hear(&mut self, update: &Publication, lost: impl Fn(usize) -> bool) {
+  /// Applies an update except for the lost datagrams.
+  fn receive(&mut self, update: &Publication, lost: impl Fn(usize) -> bool) {
     for (number, part) in parts(update).into_iter().enumerate() {
       if lost(number) {
         continue;
@@ -67,13 +67,13 @@
   }
 }
 
-/// A holder whose servers change what they hold.
+/// A holder whose servers change their loaded models.
 struct Holder {
   plan: Plan,
   now: u64,
-  /// Models that servers say they hold.
+  /// Models that servers report as loaded, by server ID.
   held: BTreeMap<String, String>,
-  /// Holdings sent to single instances.
+  /// Number of holdings sent to single instances.
   resent: usize,
 }
 
@@ -141,14 +141,14 @@
     holder
   }
 
-  /// A server holds another model now, as it says when asked.
-  fn change(&mut self, server: usize, model: &str) {
+  /// Replaces the model of a server, which then reports the new one in its inventory.
+  fn set_model(&mut self, server: usize, model: &str) {
     self.held.insert(format!("s{server:02}"), model.into());
     let id = format!("s{server:02}");
-    self.answer(&id);
+    self.send_inventory(&id);
   }
 
-  fn answer(&mut self, id: &str) {
+  fn send_inventory(&mut self, id: &str) {
     let model = self.held.get(id).cloned().unwrap_or_else(|| "m0".into());
     let inventory = Inventory {
       born: 0,
@@ -161,13 +161,13 @@
     self.plan.receive_inventory(self.now, id, Ok(inventory));
   }
 
-  /// A step; gives what is published to all, and what to the instance alone.
+  /// Runs a step. Returns the updates published to all instances and those sent to one instance.
   fn step(&mut self) -> (Vec<Publication>, Vec<Publication>) {
     self.now += STEP_MS;
     let mut published = (Vec::new(), Vec::new());
     for effect in self.plan.step(self.now) {
       match effect {
-        Effect::Query { id, .. } => self.answer(&id),
+        Effect::Query { id, .. } => self.send_inventory(&id),
         Effect::Publish(update) if update.to.is_some() => {
           self.resent += update.holdings.len();
           published.1.push(update);
@@ -180,33 +180,34 @@
   }
 }
 
-/// Plays changes at every step; `lost` says which updates to all do not arrive.
-fn play(steps: u64, lost: impl Fn(u64, usize) -> bool) -> (Holder, Instance) {
+/// Simulates a change at every step. `lost` tells which parts of the updates to all instances
+/// are dropped.
+fn simulate(steps: u64, lost: impl Fn(u64, usize) -> bool) -> (Holder, Instance) {
   let (mut holder, mut instance) = (Holder::open(), Instance::default());
   let mut reports: VecDeque<(u64, Report)> = VecDeque::new();
   for step in 0..steps {
     while let Some((_, report)) = reports.pop_front_if(|(at, _)| *at <= step) {
       holder.plan.receive_report(holder.now, address(), report);
     }
-    // Each server another one than the last time.
+    // Each server gets a different model than the last time.
     let model = ["m0", "m1", "m2"][step as usize / SERVERS % 3];
-    holder.change(step as usize % SERVERS, model);
-    let (all, own) = holder.step();
+    holder.set_model(step as usize % SERVERS, model);
+    let (all, direct) = holder.step();
     all
       .iter()
-      .for_each(|update| instance.hear(update, |part| lost(step, part)));
-    own
+      .for_each(|update| instance.receive(update, |part| lost(step, part)));
+    direct
       .iter()
-      .for_each(|update| instance.hear(update, |_| false));
+      .for_each(|update| instance.receive(update, |_| false));
     let due = (step * STEP_MS).is_multiple_of(REPORT_MS);
     if due || instance.behind {
-      reports.push_back((step + CROSSED, instance.report()));
+      reports.push_back((step + REPORT_DELAY_STEPS, instance.report()));
     }
   }
   (holder, instance)
 }
 
-fn agrees(holder: &Holder, instance: &Instance) {
+fn assert_in_sync(holder: &Holder, instance: &Instance) {
   for (id, model) in &holder.held {
     let held = instance.holdings[id].models.keys();
     assert_eq!(held.collect::<Vec<_>>(), [model], "{id}");
@@ -215,35 +216,35 @@
 
 #[test]
 fn an_instance_that_lacks_nothing_is_sent_nothing() {
-  let (mut holder, mut instance) = play(300, |_, _| false);
+  let (mut holder, mut instance) = simulate(300, |_, _| false);
   let before = holder.resent;
-  // Once the first snapshot is there.
+  // Only the first snapshot may be sent to the instance alone.
   assert!(before <= SERVERS, "{before} holdings were sent again");
   for _ in 0..100 {
     let (all, _) = holder.step();
     all
       .iter()
-      .for_each(|update| instance.hear(update, |_| false));
+      .for_each(|update| instance.receive(update, |_| false));
   }
-  agrees(&holder, &instance);
+  assert_in_sync(&holder, &instance);
 }
 
 #[test]
 fn only_what_was_lost_is_sent_again() {
-  let (mut holder, mut instance) = play(600, |step, _| step % 20 == 7);
-  // One in twenty was lost, and some changes followed before the gap was noticed.
+  let (mut holder, mut instance) = simulate(600, |step, _| step % 20 == 7);
+  // One update in twenty is lost, and some changes follow before the gap is detected.
   assert!(holder.resent <= SERVERS + 600 / 20 * 6, "{}", holder.resent);
   for _ in 0..100 {
-    let (all, own) = holder.step();
+    let (all, direct) = holder.step();
     all
       .iter()
-      .chain(&own)
-      .for_each(|update| instance.hear(update, |_| false));
+      .chain(&direct)
+      .for_each(|update| instance.receive(update, |_| false));
     holder
       .plan
       .receive_report(holder.now, address(), instance.report());
   }
-  agrees(&holder, &instance);
+  assert_in_sync(&holder, &instance);
 }
 
 #[test]
@@ -265,13 +266,16 @@
   assert!(count > 2);
   for missing in 0..count {
     let mut instance = Instance::default();
-    instance.hear(&update, |part| part == missing);
+    instance.receive(&update, |part| part == missing);
     let last = missing == count - 1;
-    assert!(instance.behind || last, "part {missing} was not missed");
+    assert!(
+      instance.behind || last,
+      "part {missing} was lost undetected"
+    );
     assert!(instance.known.count < update.latest);
   }
   let mut instance = Instance::default();
-  instance.hear(&update, |_| false);
+  instance.receive(&update, |_| false);
   let ids: BTreeSet<&String> = instance.holdings.keys().collect();
   assert_eq!((ids.len(), instance.known.count), (20, 20));
 }
--- a/tests/requests/mod.rs
+++ b/tests/requests/mod.rs
@@ -1,4 +1,4 @@
-//! Set-up shared by the tests of the reducer of routed requests.
+//! Fixtures shared by the tests of the reducer for routed requests.
 
 use bendsaddle::{
   backend::{Spec, Stage},
@@ -10,14 +10,14 @@
 };
 use std::{collections::BTreeMap, sync::Arc};
 
-/// The budget of repeats of the instance under test.
+/// Retry budget of the instance under test.
 pub const BOUND: Bound = Bound {
   ratio: 0.2,
   slack: 80.0,
   window_ms: 10_000,
 };
 
-/// A route to the one pool, with an objective of 300 ms and a timeout of 5 s.
+/// A route to the only pool, with an objective of 300 ms and a timeout of 5 s.
 pub fn route(repeat: Repeat, stream: Option<Stream>, attempts: u32) -> Route {
   Route {
     name: "r".into(),
@@ -37,7 +37,7 @@
   }
 }
 
-/// A server of the one pool that is ready and empty.
+/// A ready server of the only pool, without any models.
 pub fn spec(id: &str) -> Spec {
   Spec {
     id: id.into(),
@@ -53,12 +53,12 @@
   }
 }
 
-/// An instance with the one pool deployed and no servers.
+/// An instance with a single pool deployed and no servers.
 pub fn deployed(engine: Engine) -> State {
   seeded(engine, 1)
 }
 
-/// The same, with a seed for what it draws.
+/// Same as [`deployed`], with a seed for the random number generator.
 pub fn seeded(engine: Engine, seed: u64) -> State {
   let mut state = State::new("a", BOUND, seed);
   let pool = Pool {
@@ -73,7 +73,7 @@
   state
 }
 
-/// The first refusal among effects.
+/// The first refusal among the effects, `None` if there is none.
 pub fn refused(effects: &[Effect]) -> Option<Refusal> {
   effects.iter().find_map(|effect| match effect {
     Effect::Refuse(_, refusal) => Some(*refusal),
--- a/tests/returned.rs
+++ b/tests/returned.rs
@@ -1,4 +1,4 @@
-//! Servers when the store has come back from an older copy.
+//! Server state after the store has been restored from an older backup.
 
 #[allow(dead_code)]
 mod requests;
@@ -12,10 +12,10 @@
 };
 use std::sync::Arc;
 
-/// Time in which entries that lapsed come back, ms.
-const LAPSE_MS: u64 = 2_000;
-/// Time in which the entries of servers that are not there are removed from a copy, ms.
-const REMOVED_MS: u64 = 5_000;
+/// Time within which servers with expired entries register again, ms.
+const REREGISTRATION_MS: u64 = 2_000;
+/// Time within which the entries of absent servers are removed from a restored backup, ms.
+const REMOVAL_MS: u64 = 5_000;
 
 fn servers(ids: &[&str]) -> State {
   let mut state = requests::deployed(Engine::default());
@@ -39,8 +39,8 @@
   }
 }
 
-/// Where the next request goes.
-fn used(state: &mut State, now: u64) -> Option<String> {
+/// ID of the server that the next request is sent to, `None` if it is not sent.
+fn next_target(state: &mut State, now: u64) -> Option<String> {
   let ticket = Ticket(now + 1);
   let arrived = Event::Arrived(Descriptor {
     ticket,
@@ -61,7 +61,7 @@
   })
 }
 
-/// The store has come back, and its copy holds entries of these servers.
+/// Restores the store from a backup that holds entries for the given servers.
 fn restore(state: &mut State, now: u64, ids: &[&str]) {
   state.reduce(now, Event::StoreRestored);
   state.reduce(now, all(ids));
@@ -73,8 +73,8 @@
   let mut state = servers(&["s"]);
   state.reduce(10, set(draining("s")));
   restore(&mut state, 1_000, &["s"]);
-  assert_eq!(used(&mut state, 1_010), None);
-  assert_eq!(used(&mut state, 60_000), None);
+  assert_eq!(next_target(&mut state, 1_010), None);
+  assert_eq!(next_target(&mut state, 60_000), None);
 }
 
 #[test]
@@ -82,12 +82,12 @@
   let mut state = servers(&["s"]);
   state.reduce(10, Event::Servers(vec![Change::Removed("s".into())]));
   restore(&mut state, 1_000, &["s"]);
-  assert_eq!(used(&mut state, 1_010), None);
-  // Another list shows no more.
+  assert_eq!(next_target(&mut state, 1_010), None);
+  // A second listing gives no new information about the server.
   state.reduce(2_000, all(&["s"]));
-  assert_eq!(used(&mut state, 2_010), None);
-  // By then its entry would have been removed.
-  assert!(used(&mut state, 1_000 + REMOVED_MS).is_some());
+  assert_eq!(next_target(&mut state, 2_010), None);
+  // The entry of an absent server would have been removed by now.
+  assert!(next_target(&mut state, 1_000 + REMOVAL_MS).is_some());
 }
 
 #[test]
@@ -96,20 +96,20 @@
   state.reduce(10, Event::Servers(vec![Change::Removed("s".into())]));
   restore(&mut state, 1_000, &["s"]);
   state.reduce(1_500, set(requests::spec("s")));
-  assert!(used(&mut state, 1_510).is_some());
+  assert!(next_target(&mut state, 1_510).is_some());
 }
 
 #[test]
 fn a_server_that_the_copy_lacks_is_used_on_until_it_should_be_back() {
   let mut state = servers(&["s"]);
   restore(&mut state, 1_000, &[]);
-  assert!(used(&mut state, 1_010).is_some());
-  assert!(used(&mut state, 1_000 + LAPSE_MS - 10).is_some());
-  assert_eq!(used(&mut state, 1_000 + LAPSE_MS), None);
+  assert!(next_target(&mut state, 1_010).is_some());
+  assert!(next_target(&mut state, 1_000 + REREGISTRATION_MS - 10).is_some());
+  assert_eq!(next_target(&mut state, 1_000 + REREGISTRATION_MS), None);
   let mut state = servers(&["s"]);
   restore(&mut state, 1_000, &[]);
   state.reduce(2_000, set(requests::spec("s")));
-  assert!(used(&mut state, 10_000).is_some());
+  assert!(next_target(&mut state, 10_000).is_some());
 }
 
 #[test]
@@ -117,14 +117,14 @@
   let mut state = servers(&["s"]);
   restore(&mut state, 1_000, &["s"]);
   state.reduce(1_100, Event::Servers(vec![Change::Removed("s".into())]));
-  assert_eq!(used(&mut state, 1_110), None);
+  assert_eq!(next_target(&mut state, 1_110), None);
 }
 
 #[test]
 fn an_instance_that_starts_hears_of_the_others_who_left() {
-  let mut old = servers(&["s"]);
-  old.reduce(10, set(draining("s")));
-  let mut new = servers(&["s"]);
-  new.reduce(20, Event::Statements(old.all_statements(15)));
-  assert_eq!(used(&mut new, 30), None);
+  let mut running_instance = servers(&["s"]);
+  running_instance.reduce(10, set(draining("s")));
+  let mut starting_instance = servers(&["s"]);
+  starting_instance.reduce(20, Event::Statements(running_instance.all_statements(15)));
+  assert_eq!(next_target(&mut starting_instance, 30), None);
 }
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -1,10 +1,10 @@
-//! The planner's work follows the changes that it takes in, not the size of the fleet.
+//! The planner's work is proportional to the changes it processes, not to the fleet size.
 
 use stand_ins::replay::{Disruptions, Holder, Outcome, Popular, Replay, Size, percentile};
 use std::time::Duration;
 
-/// The load of the smallest fleet, on a fleet of so many servers.
-fn same_changes(servers: usize) -> Outcome {
+/// Runs the load of the smallest fleet on a fleet of the given number of servers.
+fn run_constant_load(servers: usize) -> Outcome {
   let size = Size {
     rare_per_s: Size::of(16).rare_per_s,
     ms: 5_000,
@@ -16,11 +16,11 @@
 #[test]
 fn a_step_costs_what_has_changed_not_what_there_is() {
   let [small, middle, large] = [16, 64, 256].map(|servers| {
-    let outcome = same_changes(servers);
+    let outcome = run_constant_load(servers);
     let steps: Duration = outcome.steps.iter().sum();
     steps.as_secs_f64() / outcome.steps.len() as f64
   });
-  // Sixteen times the fleet; what is looked after now and then follows it.
+  // The fleet is sixteen times as large. Only periodic work grows with it.
   assert!(middle < small * 4.0, "{small} {middle}");
   assert!(large < small * 6.0, "{small} {large}");
 }
@@ -37,14 +37,14 @@
   };
   let outcome = Replay::open(size, holder, 1).play();
   let ordered = percentile(&outcome.ordered_ms, 90);
-  assert!(ordered <= 150, "{ordered} ms in nine of ten cases");
+  assert!(ordered <= 150, "order delay p90: {ordered} ms");
   let decided = percentile(&outcome.decided_ms, 90);
-  assert!(decided <= 1_500, "{decided} ms in nine of ten cases");
+  assert!(decided <= 1_500, "decision delay p90: {decided} ms");
 }
 
-/// An unload waits for the runs of its model. The order that follows meets it some forty times
-/// then, and each time counted as if unloads took longer: with three times the load, decision
-/// to order came to 0.8 s.
+/// An unload waits for the running requests of its model, and the next order is blocked by it
+/// about forty times. Guards against counting each time as a longer unload: at three times the
+/// load, the delay from decision to order rose to 0.8 s.
 #[test]
 fn an_unload_that_waits_for_its_runs_does_not_delay_others() {
   let size = Size::of(64);
@@ -55,12 +55,13 @@
   };
   let outcome = Replay::open(size, Holder::Free, 1).play();
   let ordered = percentile(&outcome.ordered_ms, 50);
-  assert!(ordered <= 150, "{ordered} ms in half of the cases");
+  assert!(ordered <= 150, "order delay p50: {ordered} ms");
 }
 
-/// In a fleet in trouble one unload in five waits for runs. Its server's next load meets it
-/// some forty times, and the first time counted as if all unloads took longer: the pause of
-/// all servers came to 400 ms, and their order paths carried half of the loads.
+/// In a degraded fleet one unload in five waits for running requests, and the next load of its
+/// server is blocked by it about forty times. Guards against counting the first time as if all
+/// unloads took longer: the pause of all servers rose to 400 ms, and their order paths carried
+/// half of the loads.
 #[test]
 fn unloads_that_wait_for_runs_do_not_delay_those_that_do_not() {
   let size = Size {
@@ -74,12 +75,12 @@
   let outcome = Replay::open(size, Holder::Free, 4).with(trouble).play();
   let ordered = percentile(&outcome.ordered_ms, 50);
   println!("{ordered} ms, {} orders", outcome.orders);
-  assert!(ordered <= 150, "{ordered} ms in half of the cases");
+  assert!(ordered <= 150, "order delay p50: {ordered} ms");
 }
 
-/// After a takeover a holder decides 222 loads in a second. Unloads took somewhat longer than
-/// it believed, and each of these orders met one and made the pause longer for all: 1.28 s in
-/// place of 0.05, and 25 ms less with each second.
+/// After a takeover a holder decides 222 loads in a second. Guards against each of these orders
+/// lengthening the pause of all servers when unloads take slightly longer than estimated: it
+/// rose to 1.28 s instead of 0.05 s and fell by only 25 ms per second.
 #[test]
 fn orders_that_go_out_together_teach_as_much_as_one() {
   let size = Size {
@@ -93,12 +94,12 @@
   };
   let outcome = Replay::open(size, Holder::Free, 6).with(trouble).play();
   let ordered = percentile(&outcome.ordered_ms, 90);
-  println!("{ordered} ms in nine of ten cases");
-  assert!(ordered <= 200, "{ordered} ms in nine of ten cases");
+  println!("order delay p90: {ordered} ms");
+  assert!(ordered <= 200, "order delay p90: {ordered} ms");
 }
 
-/// The part of the requests for rare models that meet their objective, of a fleet in trouble.
-fn in_time(trouble: Disruptions) -> f64 {
+/// Ratio of requests for rare models that meet their objective in a degraded fleet.
+fn on_time_ratio(trouble: Disruptions) -> f64 {
   let size = Size {
     ms: 15_000,
     ..Size::of(64)
@@ -107,7 +108,7 @@
   f64::from(outcome.in_time) / f64::from(outcome.requests)
 }
 
-/// Load patterns, each with the part that a planner must serve in time.
+/// Runs load patterns, each with the ratio of requests that must be served in time.
 #[test]
 fn rare_models_are_served_through_trouble() {
   let burst = Disruptions {
@@ -128,20 +129,20 @@
     takeover: takeover.takeover,
     ..Disruptions::default()
   };
-  for (name, trouble, least) in [
+  for (name, trouble, min_ratio) in [
     ("none", Disruptions::default(), 0.95),
     ("burst", burst, 0.95),
     ("a quarter of the servers lost", lost, 0.94),
     ("takeover", takeover, 0.95),
     ("all", all, 0.92),
   ] {
-    let part = in_time(trouble);
-    println!("{name}: {part:.3}");
-    assert!(part >= least, "{name}: {part:.3} in time");
+    let ratio = on_time_ratio(trouble);
+    println!("{name}: {ratio:.3}");
+    assert!(ratio >= min_ratio, "{name}: {ratio:.3} in time");
   }
 }
 
-/// One model that needs some fifteen servers, beside 1,295 that are asked for now and then.
+/// Runs one model that needs about fifteen servers, and 1,295 rarely requested ones.
 fn popular(update_ms: u64) -> Outcome {
   let popular = Popular {
     per_s: 200.0,
@@ -157,12 +158,13 @@
   Replay::open(size, Holder::Free, 5).play()
 }
 
-/// Its replicas gave way for single requests as long as instances did not know of them, and
-/// were loaded again a moment later: 52 unloads and 101 loads where updates take 1.5 s. What
-/// requests saw before a replica came counted after it, so it got 58 servers.
+/// Guards against evicting replicas for single requests while instances do not know of them yet,
+/// only to load them again shortly after: 52 unloads and 101 loads where updates take 1.5 s.
+/// Also guards against counting what requests observed before a replica was loaded after it,
+/// which gave the model 58 servers.
 #[test]
 fn a_popular_model_keeps_the_servers_that_it_needs() {
-  for (update_ms, least) in [(10, 0.97), (700, 0.97), (1_500, 0.88)] {
+  for (update_ms, min_ratio) in [(10, 0.97), (700, 0.97), (1_500, 0.88)] {
     let outcome = popular(update_ms);
     let served = f64::from(outcome.popular_served) / f64::from(outcome.popular);
     let rare = f64::from(outcome.in_time) / f64::from(outcome.requests);
@@ -171,7 +173,7 @@
       "{update_ms}: {served:.3} served, {} declined, {} loads, {} unloads, {holders:?}; rare {rare:.3}",
       outcome.popular_declined, outcome.popular_loads, outcome.popular_unloads
     );
-    assert!(served >= least, "{served:.3} served");
+    assert!(served >= min_ratio, "{served:.3} served");
     assert!(
       outcome.popular_unloads <= 3,
       "{} unloads",
@@ -182,12 +184,12 @@
       "{} loads",
       outcome.popular_loads
     );
-    let most = holders.iter().max().copied().unwrap_or_default();
-    assert!(most <= 32, "{most} servers");
-    // Asked for until the 16th second.
+    let peak = holders.iter().max().copied().unwrap_or_default();
+    assert!(peak <= 32, "{peak} servers");
+    // Requests for the model end at the 16th second.
     assert!(
-      holders[20] <= most / 2,
-      "{} of {most} five seconds later",
+      holders[20] <= peak / 2,
+      "{} of {peak} five seconds later",
       holders[20]
     );
   }
--- a/tests/sends.rs
+++ b/tests/sends.rs
@@ -1,4 +1,4 @@
-//! A send that was decided is looked at once more before its bytes go out.
+//! A send is checked again between the routing decision and writing its bytes.
 
 use bendsaddle::{
   backend::{self, Spec, Stage},
@@ -22,21 +22,21 @@
   time::{Duration, Instant},
 };
 
-const LONG: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A server that answers each request with its name.
+/// Starts a server that responds to each request with its name.
 fn server(name: &'static str) -> SocketAddr {
   let listener = TcpListener::bind("127.0.0.1:0").unwrap();
   let address = listener.local_addr().unwrap();
   thread::spawn(move || {
     for stream in listener.incoming() {
-      thread::spawn(move || answer(name, stream.unwrap()));
+      thread::spawn(move || respond(name, stream.unwrap()));
     }
   });
   address
 }
 
-fn answer(name: &str, mut stream: TcpStream) {
+fn respond(name: &str, mut stream: TcpStream) {
   let mut head = Vec::new();
   let mut byte = [0];
   while !head.ends_with(b"\r\n\r\n") {
@@ -105,10 +105,10 @@
   hub
 }
 
-/// Sends a request; gives the answer's bytes.
-fn ask(address: SocketAddr) -> String {
+/// Sends a request and returns the raw response.
+fn send_request(address: SocketAddr) -> String {
   let mut stream = TcpStream::connect(address).unwrap();
-  stream.set_read_timeout(Some(LONG)).unwrap();
+  stream.set_read_timeout(Some(TIMEOUT)).unwrap();
   let head = "GET /a HTTP/1.1\r\nHost: h\r\nx-request-id: r1\r\nConnection: close\r\n\r\n";
   stream.write_all(head.as_bytes()).unwrap();
   let mut text = String::new();
@@ -117,14 +117,15 @@
 }
 
 fn wait_for(what: &str, mut done: impl FnMut() -> bool) {
-  let began = Instant::now();
+  let started = Instant::now();
   while !done() {
-    assert!(began.elapsed() < LONG, "{what}: not in time");
+    assert!(started.elapsed() < TIMEOUT, "{what}: not in time");
     thread::sleep(Duration::from_millis(1));
   }
 }
 
-/// No repeat is allowed, and the server has not failed: nothing went out.
+/// The request goes to another server although the route allows no retry: nothing was sent to
+/// the first server, which has not failed.
 #[test]
 fn a_server_that_begins_to_leave_after_the_decision_gets_nothing() {
   let hub = hub();
@@ -132,24 +133,24 @@
   let ready = spec("one", one, Stage::Ready);
   hub.apply(Event::Servers(vec![Change::All(vec![ready])]), None);
   let callers = entry::bind(&hub, "127.0.0.1:0", 8).unwrap();
-  // Connections are looked through, for long: the send waits for one.
-  let idle = Socket::connect(one, LONG).unwrap();
+  // A long scan of the idle connections blocks the send, which needs one of them.
+  let idle = Socket::connect(one, TIMEOUT).unwrap();
   let mut keys: SlotMap<backend::Key, ()> = SlotMap::with_key();
   let [.., other] = [(); 8].map(|()| keys.insert(()));
   hub.pool.release(other, idle, None);
-  let (go_on, held) = channel::<()>();
-  let (begun, began) = channel::<()>();
+  let (resume, resumed) = channel::<()>();
+  let (signal_start, started) = channel::<()>();
   let holder = {
     let hub = hub.clone();
     thread::spawn(move || {
       hub.pool.retain(|_| {
-        begun.send(()).unwrap();
-        held.recv().is_ok()
+        signal_start.send(()).unwrap();
+        resumed.recv().is_ok()
       });
     })
   };
-  began.recv_timeout(LONG).unwrap();
-  let caller = thread::spawn(move || ask(callers));
+  started.recv_timeout(TIMEOUT).unwrap();
+  let caller = thread::spawn(move || send_request(callers));
   wait_for("the decision", || {
     let state = hub.state();
     state.backends[state.by_id["one"]].running == 1
@@ -159,7 +160,7 @@
     Change::Set(spec("two", two, Stage::Ready)),
   ];
   hub.apply(Event::Servers(changes), None);
-  go_on.send(()).unwrap();
+  resume.send(()).unwrap();
   holder.join().unwrap();
   let text = caller.join().unwrap();
   assert!(text.ends_with("two"), "{text}");
--- a/tests/silence.rs
+++ b/tests/silence.rs
@@ -1,5 +1,5 @@
-//! What is believed of the store's silence, and what an instance that the store does not
-//! answer goes by.
+//! Detection of store outages, and the updates that an instance applies while it cannot reach
+//! the store.
 
 use bendsaddle::{
   feed::{Batch, Change, Event, Gate, OUTAGE_THRESHOLD, Progress, follow},
@@ -15,30 +15,30 @@
   time::{Duration, Instant},
 };
 
-const LONG: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// What the store does with a call that is not answered.
+/// How the store responds to calls.
 #[derive(Clone, Copy)]
-enum Mood {
-  Answers,
-  Refuses,
-  /// Nothing comes back, and each call waits this long for it.
+enum Mode {
+  Answering,
+  Refusing,
+  /// No response, and each call times out after this duration.
   Silent(Duration),
 }
 
 struct Shared {
   revision: u64,
-  mood: Mood,
+  mode: Mode,
 }
 
 type Server = Arc<Mutex<Shared>>;
 
-fn fault(server: &Server) -> Option<Error> {
-  let mood = server.lock().unwrap().mood;
-  match mood {
-    Mood::Answers => None,
-    Mood::Refuses => Some(Error::Refused(503)),
-    Mood::Silent(wait) => {
+fn call_error(server: &Server) -> Option<Error> {
+  let mode = server.lock().unwrap().mode;
+  match mode {
+    Mode::Answering => None,
+    Mode::Refusing => Some(Error::Refused(503)),
+    Mode::Silent(wait) => {
       thread::sleep(wait);
       Some(Error::NoAnswer)
     }
@@ -56,7 +56,7 @@
 fn store(server: &Server) -> Store {
   let (listed, watched) = (server.clone(), server.clone());
   Store {
-    list: Box::new(move |_, _| match fault(&listed) {
+    list: Box::new(move |_, _| match call_error(&listed) {
       Some(error) => Err(error),
       None => {
         let revision = listed.lock().unwrap().revision;
@@ -71,7 +71,7 @@
       let from = from.number;
       let until = Instant::now() + wait;
       loop {
-        if let Some(error) = fault(&watched) {
+        if let Some(error) = call_error(&watched) {
           return Err(error);
         }
         let revision = watched.lock().unwrap().revision;
@@ -90,12 +90,15 @@
   }
 }
 
-/// A store at revision 5, followed in a thread whose events are given; `first` is called with
-/// the first of them, in that thread.
-fn followed(gate: &Arc<Gate>, first: impl Fn() + Send + 'static) -> (Server, Receiver<Event>) {
+/// Follows a store at revision 5 in a thread and returns the receiver of its events. `first` is
+/// called in that thread on the first event.
+fn start_follower(
+  gate: &Arc<Gate>,
+  first: impl Fn() + Send + 'static,
+) -> (Server, Receiver<Event>) {
   let server = Arc::new(Mutex::new(Shared {
     revision: 5,
-    mood: Mood::Answers,
+    mode: Mode::Answering,
   }));
   let (sender, events) = channel();
   let (store, gate) = (store(&server), gate.clone());
@@ -129,17 +132,18 @@
   }
 }
 
-/// The next event of a sort, while a holder's progress goes on coming.
-fn next<T>(
+/// Waits for the next event that `select` accepts. Calls `before_poll` before each poll, for
+/// example to deliver a holder's progress. `None` after a timeout.
+fn wait_for_event<T>(
   events: &Receiver<Event>,
-  mut every: impl FnMut(),
-  sort: impl Fn(&Event) -> Option<T>,
+  mut before_poll: impl FnMut(),
+  select: impl Fn(&Event) -> Option<T>,
 ) -> Option<T> {
   let began = Instant::now();
-  while began.elapsed() < LONG {
-    every();
+  while began.elapsed() < TIMEOUT {
+    before_poll();
     if let Ok(event) = events.recv_timeout(Duration::from_millis(20))
-      && let Some(found) = sort(&event)
+      && let Some(found) = select(&event)
     {
       return Some(found);
     }
@@ -147,10 +151,10 @@
   None
 }
 
-fn known(gate: &Gate) {
+fn wait_until_synced(gate: &Gate) {
   let began = Instant::now();
   while gate.progress().revision.number < 5 {
-    assert!(began.elapsed() < LONG, "not in time");
+    assert!(began.elapsed() < TIMEOUT, "not in time");
     thread::sleep(Duration::from_millis(1));
   }
 }
@@ -169,7 +173,7 @@
   }
 }
 
-/// The same for a removal, which names the object as it was.
+/// Like [`batch`], for a removal, which carries the last revision of the object.
 fn removal() -> Batch {
   let mut removal = batch();
   removal.changes[0].revision = 5.into();
@@ -177,23 +181,23 @@
   removal
 }
 
-// Its watch got no answer, so it reads all; the store does not answer this either. The holder
-// reads the store and sends the change, which was taken before.
+// The watch of the instance times out, and so does the full listing that follows. The holder
+// can read the store and sends the change, which must still be applied.
 #[test]
 fn an_instance_without_the_store_takes_what_the_holder_sends() {
   let gate = Arc::new(Gate::default());
   gate.receive_progress(progress(5));
-  let (server, events) = followed(&gate, || {});
-  known(&gate);
-  server.lock().unwrap().mood = Mood::Silent(Duration::from_millis(50));
-  // A change that it lacks makes it ask the store.
-  let lost = next(
+  let (server, events) = start_follower(&gate, || {});
+  wait_until_synced(&gate);
+  server.lock().unwrap().mode = Mode::Silent(Duration::from_millis(50));
+  // A missing change makes the instance query the store.
+  let unreachable = wait_for_event(
     &events,
     || gate.receive_progress(progress(7)),
     |event| (*event == Event::Unreachable).then_some(()),
   );
-  assert_eq!(lost, Some(()));
-  let taken = next(
+  assert_eq!(unreachable, Some(()));
+  let applied = wait_for_event(
     &events,
     || {
       gate.receive_batch(batch());
@@ -201,130 +205,133 @@
     },
     |event| matches!(event, Event::Changed(_)).then_some(()),
   );
-  assert_eq!(taken, Some(()), "not in 20 s");
+  assert_eq!(applied, Some(()), "not in 20 s");
 }
 
-// An entry that lapsed while the store was silent may come back; its removal must not be
-// taken up before the silence is known.
+// An entry that expired during a store outage may be registered again, so its removal must not
+// be applied before the outage is known.
 #[test]
 fn the_silence_is_known_before_a_removal_that_the_holder_read_after_it() {
   let gate = Arc::new(Gate::default());
   gate.receive_progress(progress(5));
-  let (server, events) = followed(&gate, || {});
-  known(&gate);
-  server.lock().unwrap().mood = Mood::Refuses;
+  let (server, events) = start_follower(&gate, || {});
+  wait_until_synced(&gate);
+  server.lock().unwrap().mode = Mode::Refusing;
   thread::sleep(OUTAGE_THRESHOLD + Duration::from_millis(900));
-  // The holder is answered again, this one not yet.
+  // The store responds to the holder again, but not yet to this instance.
   let removal = removal();
-  let first = next(
+  let first = wait_for_event(
     &events,
     || {
       gate.receive_batch(removal.clone());
       gate.receive_progress(progress(8));
     },
     |event| match event {
-      Event::Reachable(silence) => Some(Some(silence.length)),
+      Event::Reachable(outage) => Some(Some(outage.length)),
       Event::Changed(_) => Some(None),
       _ => None,
     },
   );
-  let silence = first.expect("an event").expect("the silence first");
-  assert!(silence >= OUTAGE_THRESHOLD, "{silence:?}");
+  let outage = first.expect("an event").expect("the outage first");
+  assert!(outage >= OUTAGE_THRESHOLD, "{outage:?}");
 }
 
-// The holder falls silent, and after a while this instance asks by itself; that one call is
-// lost. Nobody had asked before, so nothing shows that the store was silent then.
+// The holder stops sending, and after a while this instance queries the store itself. Only that
+// call fails. There was no earlier call, so nothing shows that the store was down before it.
 #[test]
 fn the_wait_for_a_lost_holder_is_no_silence_of_the_store() {
   let gate = Arc::new(Gate::default());
   gate.receive_progress(progress(5));
-  let (server, events) = followed(&gate, || {});
-  known(&gate);
+  let (server, events) = start_follower(&gate, || {});
+  wait_until_synced(&gate);
   gate.receive_progress(progress(5));
-  // The watch's own time and that for its answer.
+  // Duration of the watch plus the timeout for its response.
   let call = Duration::from_millis(2_000);
-  server.lock().unwrap().mood = Mood::Silent(call);
-  let lost = next(
+  server.lock().unwrap().mode = Mode::Silent(call);
+  let unreachable = wait_for_event(
     &events,
     || {},
     |event| (*event == Event::Unreachable).then_some(Instant::now()),
   );
-  let failed = lost.expect("a failed call");
-  server.lock().unwrap().mood = Mood::Answers;
-  let back = next(
+  let failed = unreachable.expect("a failed call");
+  server.lock().unwrap().mode = Mode::Answering;
+  let recovered = wait_for_event(
     &events,
     || {},
     |event| match event {
-      Event::Reachable(silence) => Some(silence.length),
+      Event::Reachable(outage) => Some(outage.length),
       _ => None,
     },
   );
-  let asked = call + failed.elapsed();
-  let silence = back.expect("the store back");
+  let call_time = call + failed.elapsed();
+  let outage = recovered.expect("the store to be reachable");
   assert!(
-    silence < OUTAGE_THRESHOLD.max(asked),
-    "{silence:?}, asked for {asked:?}"
+    outage < OUTAGE_THRESHOLD.max(call_time),
+    "{outage:?}, call time {call_time:?}"
   );
 }
 
-// The process stood still for a while; the store answered the holder all the time. Much later
-// one call is refused: that is no silence of the store.
+// The process is frozen for a while, and the store responds to the holder all the time. A single
+// call refused much later must not count the freeze as a store outage.
 #[test]
 fn a_freeze_of_ones_own_is_no_silence_of_the_store_at_a_later_failure() {
   let gate = Arc::new(Gate::default());
   gate.receive_progress(progress(5));
-  let (server, events) = followed(&gate, || {
+  let (server, events) = start_follower(&gate, || {
     thread::sleep(OUTAGE_THRESHOLD + Duration::from_millis(400))
   });
   thread::sleep(OUTAGE_THRESHOLD + Duration::from_millis(200));
-  // What came meanwhile is read before the feed's thread runs again.
+  // Messages received in the meantime are read before the feed's thread runs again.
   gate.receive_progress(progress(5));
   let began = Instant::now();
   while began.elapsed() < Duration::from_secs(1) {
     gate.receive_progress(progress(5));
     thread::sleep(Duration::from_millis(20));
   }
-  server.lock().unwrap().mood = Mood::Refuses;
+  server.lock().unwrap().mode = Mode::Refusing;
   server.lock().unwrap().revision = 8;
   let failed = Instant::now();
-  let lost = next(
+  let unreachable = wait_for_event(
     &events,
     || gate.receive_progress(progress(8)),
     |event| (*event == Event::Unreachable).then_some(()),
   );
-  assert_eq!(lost, Some(()));
-  server.lock().unwrap().mood = Mood::Answers;
-  let back = next(
+  assert_eq!(unreachable, Some(()));
+  server.lock().unwrap().mode = Mode::Answering;
+  let recovered = wait_for_event(
     &events,
     || gate.receive_progress(progress(8)),
     |event| match event {
-      Event::Reachable(silence) => Some(silence.length),
+      Event::Reachable(outage) => Some(outage.length),
       _ => None,
     },
   );
-  let (silence, most) = (back.expect("the store back"), failed.elapsed());
+  let (outage, since_failure) = (
+    recovered.expect("the store to be reachable"),
+    failed.elapsed(),
+  );
   assert!(
-    silence < OUTAGE_THRESHOLD.max(most),
-    "{silence:?}, {most:?}"
+    outage < OUTAGE_THRESHOLD.max(since_failure),
+    "{outage:?}, {since_failure:?}"
   );
 }
 
-// The same, and no call fails: nothing says that the store was silent at all.
+// The process is frozen and no call fails, so nothing indicates a store outage.
 #[test]
 fn a_freeze_of_ones_own_without_a_failed_call_is_no_silence() {
   let gate = Arc::new(Gate::default());
   gate.receive_progress(progress(5));
-  let (server, events) = followed(&gate, || {
+  let (server, events) = start_follower(&gate, || {
     thread::sleep(OUTAGE_THRESHOLD + Duration::from_millis(400))
   });
   thread::sleep(OUTAGE_THRESHOLD + Duration::from_millis(200));
   gate.receive_progress(progress(5));
   server.lock().unwrap().revision = 8;
-  let first = next(
+  let first = wait_for_event(
     &events,
     || gate.receive_progress(progress(8)),
     |event| match event {
-      Event::Reachable(silence) => Some(Some(silence.length)),
+      Event::Reachable(outage) => Some(Some(outage.length)),
       Event::Changed(_) => Some(None),
       _ => None,
     },
@@ -332,27 +339,28 @@
   assert_eq!(first, Some(None));
 }
 
-// The holder reads a removal well after the store was back: it is no lapse.
+// The holder reads a removal well after the store has recovered, so the entry did not expire in
+// the outage.
 #[test]
 fn what_was_known_when_the_store_was_back_comes_before_a_later_removal() {
   let gate = Arc::new(Gate::default());
   gate.receive_progress(progress(5));
-  let (server, events) = followed(&gate, || {});
-  known(&gate);
-  server.lock().unwrap().mood = Mood::Refuses;
+  let (server, events) = start_follower(&gate, || {});
+  wait_until_synced(&gate);
+  server.lock().unwrap().mode = Mode::Refusing;
   thread::sleep(OUTAGE_THRESHOLD + Duration::from_millis(900));
-  let back = next(
+  let recovered = wait_for_event(
     &events,
     || gate.receive_progress(progress(5)),
     |event| matches!(event, Event::Reachable(_)).then_some(Instant::now()),
   );
-  let back = back.expect("the store back");
-  while back.elapsed() < Duration::from_millis(300) {
+  let recovered = recovered.expect("the store to be reachable");
+  while recovered.elapsed() < Duration::from_millis(300) {
     gate.receive_progress(progress(5));
     thread::sleep(Duration::from_millis(20));
   }
   let removal = removal();
-  let first = next(
+  let first = wait_for_event(
     &events,
     || {
       gate.receive_batch(removal.clone());
@@ -364,5 +372,9 @@
       _ => None,
     },
   );
-  assert_eq!(first, Some(true), "the removal came as one of before");
+  assert_eq!(
+    first,
+    Some(true),
+    "the removal arrived before the feed had caught up"
+  );
 }
--- a/tests/statements.rs
+++ b/tests/statements.rs
@@ -1,4 +1,4 @@
-//! What servers say of themselves, in the reducer of routed requests.
+//! Statements of servers about themselves, in the reducer for routed requests.
 
 #[allow(dead_code)]
 mod requests;
@@ -26,11 +26,11 @@
 }
 
 fn arrived(ticket: u64) -> Event {
-  until(ticket, 5_000)
+  arrived_until(ticket, 5_000)
 }
 
-/// A request whose caller waits until then, ms.
-fn until(ticket: u64, until: u64) -> Event {
+/// A request with a deadline, ms.
+fn arrived_until(ticket: u64, deadline_ms: u64) -> Event {
   Event::Arrived(Descriptor {
     ticket: Ticket(ticket),
     id: ticket.to_string(),
@@ -38,7 +38,7 @@
     pool: "pool".into(),
     model: None,
     affinity: 0,
-    deadline: until,
+    deadline: deadline_ms,
     content: Default::default(),
     caller: None,
   })
@@ -55,10 +55,10 @@
   Life::of(id, 0)
 }
 
-/// Whether the next request goes to the one server there is.
-fn used(state: &mut State, now: u64) -> bool {
+/// Whether the next request is sent to the only server.
+fn receives_request(state: &mut State, now: u64) -> bool {
   let ticket = now + 1;
-  let attempt = sent(&state.reduce(now, until(ticket, now + 5_000)));
+  let attempt = sent(&state.reduce(now, arrived_until(ticket, now + 5_000)));
   state.reduce(now, Event::CallerGone(Ticket(ticket)));
   attempt.is_some()
 }
@@ -70,7 +70,7 @@
 #[test]
 fn that_a_server_leaves_stands_whatever_its_entry_says() {
   let mut state = servers(&["s"]);
-  assert!(used(&mut state, 10));
+  assert!(receives_request(&mut state, 10));
   let effects = state.reduce(20, Event::Leaving(life("s")));
   assert_eq!(
     effects,
@@ -79,7 +79,7 @@
       own: true
     }]
   );
-  assert!(!used(&mut state, 30));
+  assert!(!receives_request(&mut state, 30));
   let ready = requests::spec("s");
   for (now, event) in [
     (40, set(ready.clone())),
@@ -90,7 +90,7 @@
     (90, set(ready)),
   ] {
     state.reduce(now, event);
-    assert!(!used(&mut state, now), "at {now} ms");
+    assert!(!receives_request(&mut state, now), "at {now} ms");
   }
   let holding = Holding {
     id: "s".into(),
@@ -103,7 +103,7 @@
     instances: 3,
   };
   state.reduce(100, updated);
-  assert!(!used(&mut state, 100));
+  assert!(!receives_request(&mut state, 100));
 }
 
 #[test]
@@ -115,12 +115,12 @@
   let mut state = requests::deployed(Engine::default());
   state.reduce(0, Event::Servers(vec![Change::All(vec![born(5)])]));
   state.reduce(10, Event::Leaving(Life::of("s", 5)));
-  assert!(!used(&mut state, 20));
+  assert!(!receives_request(&mut state, 20));
   state.reduce(30, set(born(6)));
-  assert!(used(&mut state, 40));
-  // What is older than the life that is known changes nothing.
+  assert!(receives_request(&mut state, 40));
+  // An entry of an earlier life of the server changes nothing.
   state.reduce(50, set(born(5)));
-  assert!(used(&mut state, 60));
+  assert!(receives_request(&mut state, 60));
 }
 
 #[test]
@@ -156,11 +156,11 @@
   assert_eq!(state.all_statements(100), [statement]);
   let mut other = servers(&["s"]);
   other.reduce(5_000, Event::Statements(vec![statement]));
-  assert!(!used(&mut other, 5_001));
+  assert!(!receives_request(&mut other, 5_001));
   assert_eq!(other.take_statements(), [(life("s"), false)]);
 }
 
-fn said(name: &str, value: &str, status: u16) -> Hints {
+fn hints(name: &str, value: &str, status: u16) -> Hints {
   let mut headers = Headers::default();
   headers.set(name, value);
   Hints::from_head(status, &headers, &bendsaddle::dialect::Dialect::DEFAULT)
@@ -169,16 +169,19 @@
 #[test]
 fn any_answer_of_the_server_that_was_meant_says_that_it_leaves() {
   for status in [200, 202, 409, 500, 503] {
-    assert_eq!(said("x-server-leaving", "1", status).is_leaving(), Ok(true));
+    assert_eq!(
+      hints("x-server-leaving", "1", status).is_leaving(),
+      Ok(true)
+    );
   }
-  assert_eq!(said("x-server-leaving", "1", 421).is_leaving(), Ok(false));
-  assert_eq!(said("x-other", "1", 200).is_leaving(), Ok(false));
-  let odd = said("x-server-leaving", "yes", 200).is_leaving();
-  assert_eq!(odd, Err("leaving: `yes` is not 1".into()));
+  assert_eq!(hints("x-server-leaving", "1", 421).is_leaving(), Ok(false));
+  assert_eq!(hints("x-other", "1", 200).is_leaving(), Ok(false));
+  let invalid = hints("x-server-leaving", "yes", 200).is_leaving();
+  assert_eq!(invalid, Err("leaving: `yes` is not 1".into()));
 }
 
 quickcheck! {
-  /// In whatever order entries come, a server that leaves gets nothing.
+  /// A leaving server gets no requests, in whatever order its entries arrive.
   fn no_history_of_entries_brings_it_back(changes: Vec<u8>) -> bool {
     let mut state = servers(&["s"]);
     state.reduce(1, Event::Leaving(life("s")));
@@ -191,16 +194,16 @@
         _ => Change::Invalid("s".into()),
       };
       state.reduce(now, Event::Servers(vec![change]));
-      !used(&mut state, now)
+      !receives_request(&mut state, now)
     })
   }
 }
 
-fn rest(id: &str, rest_ms: u64) -> Event {
+fn backoff(id: &str, delay_ms: u64) -> Event {
   let server = life(id);
   Event::Backoff {
     server,
-    backoff_ms: rest_ms,
+    backoff_ms: delay_ms,
   }
 }
 
@@ -212,20 +215,20 @@
 #[test]
 fn a_server_that_rests_gets_nothing_until_the_rest_is_over() {
   let mut state = servers(&["s"]);
-  state.reduce(10, rest("s", 3_000));
-  // One that is repeated, or shorter, does not end it sooner.
-  state.reduce(20, rest("s", 100));
+  state.reduce(10, backoff("s", 3_000));
+  // A repeated or shorter backoff does not end the current one sooner.
+  state.reduce(20, backoff("s", 100));
   for now in [11, 1_000, 3_009] {
-    assert!(!used(&mut state, now), "at {now} ms");
+    assert!(!receives_request(&mut state, now), "at {now} ms");
   }
-  assert!(used(&mut state, 3_010));
+  assert!(receives_request(&mut state, 3_010));
 }
 
 #[test]
 fn one_that_was_decided_before_the_rest_goes_elsewhere_and_is_no_repeat() {
   let mut state = servers(&["s", "t"]);
   let attempt = sent(&state.reduce(10, arrived(1))).expect("a send");
-  state.reduce(11, rest(&attempt.id, 3_000));
+  state.reduce(11, backoff(&attempt.id, 3_000));
   assert_eq!(state.abort_reason(&attempt), Some(End::Resting));
   assert!(!End::Resting.may_have_reached_server());
   let other = sent(&state.reduce(12, ended(1, End::Resting))).expect("a send");
@@ -236,15 +239,15 @@
 fn a_request_that_was_turned_away_does_not_come_back_in_the_rest() {
   let mut state = servers(&["s", "t"]);
   let first = sent(&state.reduce(10, arrived(1))).expect("a send");
-  state.reduce(11, rest(&first.id, 6_000));
+  state.reduce(11, backoff(&first.id, 6_000));
   let second = sent(&state.reduce(11, ended(1, End::Full))).expect("a send");
   assert_ne!(second.id, first.id);
-  state.reduce(12, rest(&second.id, 5_500));
+  state.reduce(12, backoff(&second.id, 5_500));
   let refused = requests::refused(&state.reduce(12, ended(1, End::Full)));
   let refused = refused.expect("a refusal");
   assert_eq!(refused.reason, Reason::ServerRest);
   assert_eq!(refused.verdict, Verdict::NotRun);
-  // When the first of them is over.
+  // The time until the first backoff ends.
   let after = refused.retry_after.expect("a time");
   assert!((5_500..=5_700).contains(&after), "{after} ms");
 }
@@ -252,7 +255,7 @@
 #[test]
 fn where_the_rest_ends_in_time_a_request_waits_for_it() {
   let mut state = servers(&["s"]);
-  state.reduce(10, rest("s", 1_000));
+  state.reduce(10, backoff("s", 1_000));
   let effects = state.reduce(20, arrived(1));
   assert!(matches!(effects[..], [Effect::Wait(..)]), "{effects:?}");
   assert_eq!(sent(&state.reduce(1_000, Event::Recheck(Ticket(1)))), None);
@@ -262,23 +265,23 @@
 #[test]
 fn after_a_rest_two_requests_try_the_server_out_before_the_others() {
   let mut state = servers(&["s"]);
-  state.reduce(10, rest("s", 1_000));
+  state.reduce(10, backoff("s", 1_000));
   for ticket in 1..=20 {
     state.reduce(20, arrived(ticket));
   }
-  let tried = |state: &mut State, now| -> Vec<Attempt> {
-    let looks = (1..=20).map(|ticket| state.reduce(now, Event::Recheck(Ticket(ticket))));
-    looks.filter_map(|effects| sent(&effects)).collect()
+  let recheck_all = |state: &mut State, now| -> Vec<Attempt> {
+    let rechecks = (1..=20).map(|ticket| state.reduce(now, Event::Recheck(Ticket(ticket))));
+    rechecks.filter_map(|effects| sent(&effects)).collect()
   };
-  let first = tried(&mut state, 1_010);
+  let first = recheck_all(&mut state, 1_010);
   assert_eq!(first.len(), 2);
   assert!(first.iter().all(|attempt| attempt.trial));
-  assert_eq!(tried(&mut state, 1_100).len(), 0);
-  // Both are turned away: nobody else goes there.
-  state.reduce(1_110, rest("s", 500));
-  assert_eq!(tried(&mut state, 1_600).len(), 0);
-  assert_eq!(tried(&mut state, 1_610).len(), 2);
-  // One of the next two is taken: all others go.
+  assert_eq!(recheck_all(&mut state, 1_100).len(), 0);
+  // Both trial requests are rejected, so no other request is sent.
+  state.reduce(1_110, backoff("s", 500));
+  assert_eq!(recheck_all(&mut state, 1_600).len(), 0);
+  assert_eq!(recheck_all(&mut state, 1_610).len(), 2);
+  // One of the next two trial requests is accepted, so all others are sent.
   let effects = state.reduce(1_650, Event::TrialAccepted(life("s")));
   let sends = effects.iter();
   let sends = sends.filter(|effect| matches!(effect, Effect::Send(attempt) if !attempt.trial));
@@ -288,7 +291,7 @@
 #[test]
 fn a_server_that_turns_nobody_away_for_a_while_is_used_again() {
   let mut state = servers(&["s"]);
-  state.reduce(10, rest("s", 500));
+  state.reduce(10, backoff("s", 500));
   for ticket in 1..=4 {
     state.reduce(600, arrived(ticket));
   }
@@ -305,30 +308,30 @@
   let mut state = requests::deployed(Engine::default());
   state.reduce(0, Event::Servers(vec![Change::All(vec![born(5)])]));
   let server = Life::of("s", 5);
-  let rest_ms = u64::MAX;
+  let delay_ms = u64::MAX;
   state.reduce(
     10,
     Event::Backoff {
       server,
-      backoff_ms: rest_ms,
+      backoff_ms: delay_ms,
     },
   );
-  assert!(!used(&mut state, 1_000_000));
+  assert!(!receives_request(&mut state, 1_000_000));
   assert_eq!(state.servers_backing_off(1_000_000), [server]);
   state.reduce(1_000_010, set(born(6)));
-  assert!(used(&mut state, 1_000_020));
+  assert!(receives_request(&mut state, 1_000_020));
 }
 
 #[test]
 fn how_long_a_server_rests_is_read_as_seconds() {
-  let rest = |text: &str, status| said("retry-after", text, status).backoff_ms();
-  assert_eq!(rest("3", 503), Ok(Some(3_000)));
-  assert_eq!(rest(" 0.25 ", 503), Ok(Some(250)));
-  assert_eq!(rest("0", 503), Ok(None));
-  assert_eq!(rest("1e300", 503), Ok(Some(u64::MAX)));
-  assert_eq!(rest("3", 200), Ok(None));
-  assert_eq!(rest("3", 421), Ok(None));
-  assert_eq!(said("x-other", "3", 503).backoff_ms(), Ok(None));
+  let backoff = |text: &str, status| hints("retry-after", text, status).backoff_ms();
+  assert_eq!(backoff("3", 503), Ok(Some(3_000)));
+  assert_eq!(backoff(" 0.25 ", 503), Ok(Some(250)));
+  assert_eq!(backoff("0", 503), Ok(None));
+  assert_eq!(backoff("1e300", 503), Ok(Some(u64::MAX)));
+  assert_eq!(backoff("3", 200), Ok(None));
+  assert_eq!(backoff("3", 421), Ok(None));
+  assert_eq!(hints("x-other", "3", 503).backoff_ms(), Ok(None));
   for text in [
     "",
     "-1",
@@ -338,21 +341,21 @@
     "Wed, 21 Oct 2026 07:28:00 GMT",
   ] {
     let error = format!("retry-after: `{text}` is not seconds");
-    assert_eq!(rest(text, 503), Err(error));
+    assert_eq!(backoff(text, 503), Err(error));
   }
 }
 
 quickcheck! {
-  /// Whatever answers come, no request is sent while a rest lasts.
+  /// No request is sent during a backoff, whatever the responses.
   fn no_request_is_sent_in_a_rest(steps: Vec<(u8, u16)>) -> bool {
     let mut state = servers(&["s"]);
-    let (mut now, mut until) = (0, 0);
-    steps.into_iter().all(|(what, ms)| {
+    let (mut now, mut backoff_end) = (0, 0);
+    steps.into_iter().all(|(step, ms)| {
       now += u64::from(ms % 400);
-      match what % 4 {
+      match step % 4 {
         0 => {
-          until = until.max(now + u64::from(ms));
-          state.reduce(now, rest("s", ms.into()));
+          backoff_end = backoff_end.max(now + u64::from(ms));
+          state.reduce(now, backoff("s", ms.into()));
         }
         1 => {
           state.reduce(now, Event::TrialAccepted(life("s")));
@@ -360,7 +363,7 @@
         2 => {
           state.reduce(now, set(requests::spec("s")));
         }
-        _ => return !used(&mut state, now) || now >= until,
+        _ => return !receives_request(&mut state, now) || now >= backoff_end,
       }
       true
     })
--- a/tests/suspects.rs
+++ b/tests/suspects.rs
@@ -1,9 +1,10 @@
-//! Who is to blame for crashes, replayed from what instances found on days of a request that
-//! crashes servers.
+//! Attribution of crashes to requests, replayed from observations of instances on two days on
+//! which a request crashed servers.
 //!
-//! On both days all runs of a crashed server went on to the same next one, so that culprit
-//! and companions stood in the same three crashes; a judge that knew a part of the third one
-//! blamed a companion, and the culprit went free for six and eight servers in all.
+//! On both days all requests of a crashed server were retried on the same next server, so the
+//! culprit and its companions took part in the same three crashes. An analyzer that knew only a
+//! part of the third crash blamed a companion, and the culprit remained free to crash six and
+//! eight servers in total.
 
 use bendsaddle::{
   content,
@@ -12,19 +13,20 @@
 };
 use std::collections::BTreeSet;
 
-/// Time after the third crash from which on the request may reach servers three times more, ms.
-const CONTACT_MS: u64 = 3_000;
-/// A report takes so long to another instance, ms.
+/// Time after the third crash by which the culprit must be blamed, ms. The request may reach
+/// servers three more times after that.
+const BLAME_DEADLINE_MS: u64 = 3_000;
+/// Delay of a report to another instance, ms.
 const TRANSIT_MS: u64 = 5;
 
-/// A run that ended with its server, as an instance found it.
-struct Found {
+/// A crash of a server during a run, as observed by an instance.
+struct Observation {
   at: u64,
   instance: u64,
   crash: Crash,
 }
 
-fn found(line: &str) -> Found {
+fn parse_observation(line: &str) -> Observation {
   let fields: Vec<u64> = line
     .split(' ')
     .map(|field| field.parse().unwrap())
@@ -32,7 +34,7 @@
   let [at, instance, content, server, run, progress] = fields[..] else {
     panic!("{line}");
   };
-  Found {
+  Observation {
     at,
     instance,
     crash: Crash {
@@ -44,24 +46,25 @@
   }
 }
 
-fn history(text: &str) -> Vec<Found> {
+fn history(text: &str) -> Vec<Observation> {
   let lines = text.lines().filter(|line| !line.starts_with('#'));
-  lines.map(found).collect()
+  lines.map(parse_observation).collect()
 }
 
-/// When the third server ended under a content, ms.
-fn third(history: &[Found], content: u128) -> u64 {
+/// Time of the third server crash that involves a content, ms.
+fn third_crash_ms(history: &[Observation], content: u128) -> u64 {
   let mut servers = BTreeSet::new();
   let crashes = history.iter();
-  let mut mine = crashes.filter(|found| found.crash.content.0 == content);
-  let third = mine.find(|found| servers.insert(found.crash.server) && servers.len() == 3);
+  let mut mine = crashes.filter(|observation| observation.crash.content.0 == content);
+  let third =
+    mine.find(|observation| servers.insert(observation.crash.server) && servers.len() == 3);
   third.expect("three crashes").at
 }
 
-/// What an instance that judges hears, in the order in which it does.
-fn heard(history: &[Found], judge: u64) -> Vec<(u64, Crash)> {
-  let transit = |found: &Found| {
-    if found.instance == judge {
+/// Crashes received by the analyzing instance with their times of arrival in ms, in that order.
+fn received(history: &[Observation], analyzer: u64) -> Vec<(u64, Crash)> {
+  let transit = |observation: &Observation| {
+    if observation.instance == analyzer {
       0
     } else {
       TRANSIT_MS
@@ -69,19 +72,19 @@
   };
   let reports = history
     .iter()
-    .map(|found| (found.at + transit(found), found.crash));
-  let mut heard: Vec<(u64, Crash)> = reports.collect();
-  heard.sort_by_key(|(at, _)| *at);
-  heard
+    .map(|observation| (observation.at + transit(observation), observation.crash));
+  let mut received: Vec<(u64, Crash)> = reports.collect();
+  received.sort_by_key(|(at, _)| *at);
+  received
 }
 
-/// Contents that an instance blames while the request could still be sent.
-fn blamed(history: &[Found], judge: u64, guilty: u128) -> BTreeSet<u128> {
-  let last = third(history, guilty) + CONTACT_MS;
+/// Contents that an instance blames while the request can still be sent.
+fn blamed(history: &[Observation], analyzer: u64, culprit: u128) -> BTreeSet<u128> {
+  let last = third_crash_ms(history, culprit) + BLAME_DEADLINE_MS;
   let mut registry = Registry::default();
   let mut blamed = BTreeSet::new();
-  let heard = heard(history, judge);
-  let mut reports = heard.iter().peekable();
+  let received = received(history, analyzer);
+  let mut reports = received.iter().peekable();
   for now in 0..last {
     while let Some((_, crash)) = reports.next_if(|(at, _)| *at <= now) {
       registry.add(now, &[*crash]);
@@ -89,18 +92,21 @@
     if registry.analysis_at(now, || true).is_none_or(|at| now < at) {
       continue;
     }
-    let found = registry.find_culprits(now);
-    blamed.extend(found.iter().map(|sentence| sentence.content.0));
+    let culprits = registry.find_culprits(now);
+    blamed.extend(culprits.iter().map(|quarantined| quarantined.content.0));
   }
   blamed
 }
 
-fn only_the_culprit_is_blamed(history: &str, guilty: u128) {
+fn only_the_culprit_is_blamed(history: &str, culprit: u128) {
   let history = self::history(history);
-  let instances: BTreeSet<u64> = history.iter().map(|found| found.instance).collect();
-  for judge in instances {
-    let blamed = blamed(&history, judge, guilty);
-    assert_eq!(blamed, BTreeSet::from([guilty]), "at instance {judge}");
+  let instances: BTreeSet<u64> = history
+    .iter()
+    .map(|observation| observation.instance)
+    .collect();
+  for analyzer in instances {
+    let blamed = blamed(&history, analyzer, culprit);
+    assert_eq!(blamed, BTreeSet::from([culprit]), "at instance {analyzer}");
   }
 }
 
@@ -114,7 +120,7 @@
   only_the_culprit_is_blamed(include_str!("histories/crashes-two.txt"), 4);
 }
 
-/// A run of a content at a server, which came so far.
+/// A crash of a server during a run of a content that had reached the given progress.
 fn crash(content: u128, server: u64, run: u32, progress_ms: u32) -> Crash {
   Crash {
     content: content::Key(content),
@@ -135,35 +141,35 @@
   assert!(registry.find_culprits(10_000).is_empty());
 }
 
-/// An instance that is no judge was due at a moment that had passed, again and again until it
-/// judged alone, 1 s later.
+/// Guards against an instance that is no analyzer being due at a past time again and again,
+/// until it analyzes on its own 1 s later.
 #[test]
 fn an_instance_that_is_no_judge_is_due_when_it_judges_alone() {
   let mut registry = Registry::default();
   registry.add(100, &[crash(8, 1, 1, 0)]);
   let settled = registry.analysis_at(100, || false).expect("a crash");
   assert_eq!(registry.analysis_at(settled, || true), Some(settled));
-  let alone = registry.analysis_at(settled, || false).expect("a crash");
-  assert!(alone >= settled + 1_000, "{settled} {alone}");
-  registry.find_culprits(alone);
-  assert_eq!(registry.analysis_at(alone, || false), None);
+  let fallback_at = registry.analysis_at(settled, || false).expect("a crash");
+  assert!(fallback_at >= settled + 1_000, "{settled} {fallback_at}");
+  registry.find_culprits(fallback_at);
+  assert_eq!(registry.analysis_at(fallback_at, || false), None);
 }
 
 #[test]
 fn a_companion_blamed_on_less_knowledge_is_released_when_the_culprit_strikes_again() {
-  let (guilty, beside) = (content::Key(8), content::Key(9));
+  let (culprit, companion) = (content::Key(8), content::Key(9));
   let mut registry = Registry::default();
   for server in 1..=3 {
     registry.add(0, &[crash(9, server, 2, 0)]);
   }
-  assert_eq!(registry.find_culprits(30)[0].content, beside);
+  assert_eq!(registry.find_culprits(30)[0].content, companion);
   for server in 1..=4 {
     registry.add(40, &[crash(8, server, 1, 0)]);
   }
-  assert_eq!(registry.find_culprits(60)[0].content, guilty);
-  assert_eq!(registry.release_companions(60), vec![beside]);
+  assert_eq!(registry.find_culprits(60)[0].content, culprit);
+  assert_eq!(registry.release_companions(60), vec![companion]);
   let again = Quarantined {
-    content: beside,
+    content: companion,
     left_ms: 1_000,
   };
   assert!(
@@ -175,31 +181,31 @@
 
 #[test]
 fn a_content_that_was_in_a_crash_goes_to_the_server_that_its_hash_names() {
-  let mut door = Filter::default();
+  let mut filter = Filter::default();
   let key = content::Key(8);
-  assert_eq!(door.admission(0, key), Admission::Allowed);
-  door.record_crash(0, crash(8, 1, 1, 0));
-  assert_eq!(door.admission(0, key), Admission::Isolated(1));
-  door.record_served(key);
-  assert_eq!(door.admission(1, key), Admission::Allowed);
+  assert_eq!(filter.admission(0, key), Admission::Allowed);
+  filter.record_crash(0, crash(8, 1, 1, 0));
+  assert_eq!(filter.admission(0, key), Admission::Isolated(1));
+  filter.record_served(key);
+  assert_eq!(filter.admission(1, key), Admission::Allowed);
 }
 
 #[test]
 fn after_two_crashes_a_content_waits_for_its_turn_and_no_longer_than_300_ms() {
-  let mut door = Filter::default();
+  let mut filter = Filter::default();
   let key = content::Key(8);
-  door.record_crash(0, crash(8, 1, 1, 0));
-  door.record_crash(200, crash(8, 2, 1, 10));
-  assert!(matches!(door.admission(200, key), Admission::Delayed(until) if until <= 500));
+  filter.record_crash(0, crash(8, 1, 1, 0));
+  filter.record_crash(200, crash(8, 2, 1, 10));
+  assert!(matches!(filter.admission(200, key), Admission::Delayed(until) if until <= 500));
   let turn = |turn| Suspected {
     content: key,
     crashes: 2,
     turn,
   };
-  door.update_suspects(230, &[turn(0)]);
-  assert_eq!(door.admission(230, key), Admission::Isolated(2));
-  door.update_suspects(230, &[turn(40)]);
-  assert!(matches!(door.admission(230, key), Admission::Delayed(until) if until <= 500));
+  filter.update_suspects(230, &[turn(0)]);
+  assert_eq!(filter.admission(230, key), Admission::Isolated(2));
+  filter.update_suspects(230, &[turn(40)]);
+  assert!(matches!(filter.admission(230, key), Admission::Delayed(until) if until <= 500));
 }
 
 #[test]
@@ -231,30 +237,33 @@
 
 #[test]
 fn a_companion_that_came_further_than_before_waits_for_nothing() {
-  let mut door = Filter::default();
-  door.record_crash(0, crash(9, 1, 2, 3_000));
-  door.record_crash(200, crash(9, 2, 2, 30));
-  assert_eq!(door.admission(200, content::Key(9)), Admission::Isolated(2));
+  let mut filter = Filter::default();
+  filter.record_crash(0, crash(9, 1, 2, 3_000));
+  filter.record_crash(200, crash(9, 2, 2, 30));
+  assert_eq!(
+    filter.admission(200, content::Key(9)),
+    Admission::Isolated(2)
+  );
 }
 
 #[test]
 fn a_verdict_ends_all_suspicion() {
-  let mut door = Filter::default();
+  let mut filter = Filter::default();
   for server in 1..=3 {
-    door.record_crash(0, crash(8, server, 1, 0));
-    door.record_crash(0, crash(9, server, 2, 0));
+    filter.record_crash(0, crash(8, server, 1, 0));
+    filter.record_crash(0, crash(9, server, 2, 0));
   }
   assert!(matches!(
-    door.admission(1, content::Key(9)),
+    filter.admission(1, content::Key(9)),
     Admission::Delayed(_)
   ));
   let verdict = Quarantined {
     content: content::Key(8),
     left_ms: 1_000,
   };
-  door.update_quarantine(2, &[verdict]);
-  assert_eq!(door.admission(2, content::Key(8)), Admission::Denied);
-  assert_eq!(door.admission(2, content::Key(9)), Admission::Allowed);
+  filter.update_quarantine(2, &[verdict]);
+  assert_eq!(filter.admission(2, content::Key(8)), Admission::Denied);
+  assert_eq!(filter.admission(2, content::Key(9)), Admission::Allowed);
 }
 
 #[test]
@@ -270,7 +279,7 @@
   let blamed = registry.find_culprits(30);
   let blamed: BTreeSet<u128> = blamed.iter().map(|one| one.content.0).collect();
   assert!(blamed.contains(&1) || blamed.contains(&7));
-  // The one that stood beside both is released once they have struck once more.
+  // The companion of both is released after both culprits have caused crashes again.
   registry.add(100, &[crash(1, 4, 5, 0), crash(2, 14, 6, 0)]);
   registry.add(100, &[crash(1, 5, 7, 0), crash(2, 15, 8, 0)]);
   registry.add(100, &[crash(1, 6, 9, 0), crash(2, 16, 10, 0)]);
--- a/tests/urgency.rs
+++ b/tests/urgency.rs
@@ -1,5 +1,5 @@
-//! What requests gain from a load: an objective that is still met counts most, then the
-//! patience of their callers.
+//! Gain of requests from a load: meeting their objective counts most, then responding before
+//! their callers give up.
 
 use bendsaddle::placement::urgency::{Wait, gain};
 
--- a/tests/web.rs
+++ b/tests/web.rs
@@ -1,4 +1,4 @@
-//! Bounds of the callers' port.
+//! Limits of the port for callers.
 
 use bendsaddle::web::{self, Limits};
 use serde_json::json;
@@ -9,7 +9,7 @@
   time::Duration,
 };
 
-const BOUNDS: Limits = Limits {
+const LIMITS: Limits = Limits {
   connections: 2,
   head_bytes: 512,
   body_bytes: 64,
@@ -19,8 +19,8 @@
   stack_bytes: 128 << 10,
 };
 
-fn echo(bounds: Limits) -> SocketAddr {
-  web::bind("127.0.0.1:0", bounds, "busy".into(), |request| {
+fn echo(limits: Limits) -> SocketAddr {
+  web::bind("127.0.0.1:0", limits, "busy".into(), |request| {
     let body = request.body.clone();
     request.respond(200, &[], &body);
   })
@@ -31,7 +31,7 @@
   stream.write_all(text.as_bytes()).unwrap();
 }
 
-/// Reads until the text holds `end` or the connection closes.
+/// Reads until the text contains `end` or the connection closes.
 fn read_to(stream: &mut TcpStream, end: &str) -> String {
   let mut text = String::new();
   let mut bytes = [0; 1024];
@@ -46,7 +46,7 @@
 
 #[test]
 fn a_connection_carries_several_requests() {
-  let mut stream = TcpStream::connect(echo(BOUNDS)).unwrap();
+  let mut stream = TcpStream::connect(echo(LIMITS)).unwrap();
   for body in ["first", "second"] {
     let length = body.len();
     send(
@@ -61,7 +61,7 @@
 
 #[test]
 fn a_chunked_body_is_read() {
-  let mut stream = TcpStream::connect(echo(BOUNDS)).unwrap();
+  let mut stream = TcpStream::connect(echo(LIMITS)).unwrap();
   let head = "POST / HTTP/1.1\r\ntransfer-encoding: chunked\r\n\r\n";
   send(
     &mut stream,
@@ -72,7 +72,7 @@
 
 #[test]
 fn a_connection_beyond_the_bound_is_turned_away() {
-  let address = echo(BOUNDS);
+  let address = echo(LIMITS);
   let mut held = [
     TcpStream::connect(address).unwrap(),
     TcpStream::connect(address).unwrap(),
@@ -85,7 +85,7 @@
   let answer = read_to(&mut third, "busy");
   assert!(answer.starts_with("HTTP/1.1 503"), "{answer}");
   drop(held);
-  wait_for("a place to be free", || {
+  wait_for("a free connection", || {
     let mut stream = TcpStream::connect(address).unwrap();
     send(&mut stream, "GET / HTTP/1.1\r\n\r\n");
     read_to(&mut stream, "\r\n\r\n").starts_with("HTTP/1.1 200")
@@ -94,14 +94,14 @@
 
 #[test]
 fn sizes_beyond_the_bounds_are_named() {
-  let mut stream = TcpStream::connect(echo(BOUNDS)).unwrap();
+  let mut stream = TcpStream::connect(echo(LIMITS)).unwrap();
   send(&mut stream, "POST / HTTP/1.1\r\ncontent-length: 65\r\n\r\n");
   let answer = read_to(&mut stream, "bytes");
   assert!(
     answer.contains("413") && answer.contains("body: more than 64 bytes"),
     "{answer}"
   );
-  let mut stream = TcpStream::connect(echo(BOUNDS)).unwrap();
+  let mut stream = TcpStream::connect(echo(LIMITS)).unwrap();
   send(
     &mut stream,
     &format!("GET / HTTP/1.1\r\nx: {}", "y".repeat(600)),
@@ -112,15 +112,15 @@
 
 #[test]
 fn a_request_that_never_ends_frees_its_place() {
-  let bounds = Limits {
+  let limits = Limits {
     connections: 1,
     request_timeout: Duration::from_millis(50),
-    ..BOUNDS
+    ..LIMITS
   };
-  let address = echo(bounds);
+  let address = echo(limits);
   let mut slow = TcpStream::connect(address).unwrap();
   send(&mut slow, "POST / HTTP/1.1\r\ncontent-le");
-  wait_for("the place to be free", || {
+  wait_for("the connection to be freed", || {
     let mut stream = TcpStream::connect(address).unwrap();
     send(&mut stream, "GET / HTTP/1.1\r\n\r\n");
     read_to(&mut stream, "\r\n\r\n").starts_with("HTTP/1.1 200")
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -1,5 +1,5 @@
-//! Several reducers against a model of the platform, engines and network, all
-//! driven by a list of numbers: any interleaving, loss, pause or restart.
+//! Simulation of several reducers with a model of the platform, engines and network. A list of
+//! numbers determines the interleaving, losses, pauses and restarts.
 
 use bendsaddle::{
   attempt::{Attempt, End},
@@ -43,32 +43,33 @@
   paused: bool,
 }
 
-/// Something on its way. `from` is an instance with its boot.
+/// An effect, message or write in transit. The first two fields of all variants except
+/// `DelayedWrite` are the index and the boot of an instance.
 #[derive(Clone)]
 enum Pending {
   Effect(usize, u64, Effect),
-  /// An order on the network, with the time it was sent.
-  Wire(usize, u64, Order, u64, u64),
+  /// An order on the network. The last field is the time it was sent, ms.
+  Order(usize, u64, Order, u64, u64),
   Event(usize, u64, Event),
-  /// A conditional write whose sender has given up on its answer.
-  Late(Name, u64, Value),
+  /// A conditional write whose sender no longer waits for the result.
+  DelayedWrite(Name, u64, Value),
 }
 
-/// A mechanism switched off, to see that the checks notice.
+/// A mechanism that is disabled to verify that the checks detect it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Weak {
-  /// Memory is reserved past capacity.
+pub enum Defect {
+  /// Memory is reserved beyond the capacity.
   Memory,
-  /// Replicas are decided past the limit.
+  /// Replicas are decided beyond the limit.
   Limit,
-  /// Memory is freed while a load order may be on its way.
+  /// Memory is freed while a load order may be in transit.
   InFlight,
-  /// Claims are forgotten.
+  /// Claims are lost.
   Claims,
 }
 
-impl Weak {
-  fn spoil(self, change: Change, value: &mut Value) -> Change {
+impl Defect {
+  fn inject(self, change: Change, value: &mut Value) -> Change {
     match (self, change) {
       (Self::Memory, Change::Server(mut change)) => {
         if let ledger::Change::Reserve { capacity_mb, .. } = &mut change {
@@ -98,8 +99,8 @@
 }
 
 pub struct World {
-  weak: Option<Weak>,
-  /// Whether one of the engines checks fencing numbers.
+  defect: Option<Defect>,
+  /// Whether one of the engines checks fencing tokens.
   fenced: bool,
   now: u64,
   nodes: Vec<Node>,
@@ -108,17 +109,17 @@
   engines: BTreeMap<String, Engine>,
   pending: Vec<Pending>,
   listed: BTreeMap<String, MachineState>,
-  /// Times each request ran, and each key.
+  /// Number of runs of each request; `ran_key` has those of each key.
   ran: BTreeMap<(usize, u64, u64), u32>,
   ran_key: BTreeMap<u64, u32>,
   keys: BTreeMap<(usize, u64, u64), u64>,
   answered: BTreeSet<(usize, u64, u64)>,
-  asked: BTreeSet<(usize, u64, u64)>,
+  requested: BTreeSet<(usize, u64, u64)>,
   next_ticket: u64,
-  /// The next load order is to be kept on its way.
+  /// Whether to hold the next load order in transit.
   delay_load: bool,
   delayed: Option<(Order, u64)>,
-  pub faults: Vec<String>,
+  pub violations: Vec<String>,
 }
 
 fn limits() -> Limits {
@@ -169,16 +170,16 @@
 }
 
 impl World {
-  pub fn open(weak: Option<Weak>) -> Self {
-    Self::with(weak, true)
+  pub fn open(defect: Option<Defect>) -> Self {
+    Self::with(defect, true)
   }
 
-  /// A world whose engines all ignore fencing numbers.
-  pub fn unfenced(weak: Option<Weak>) -> Self {
-    Self::with(weak, false)
+  /// Creates a world whose engines all ignore fencing tokens.
+  pub fn unfenced(defect: Option<Defect>) -> Self {
+    Self::with(defect, false)
   }
 
-  fn with(weak: Option<Weak>, fenced: bool) -> Self {
+  fn with(defect: Option<Defect>, fenced: bool) -> Self {
     let now = 1_000_000;
     let engine = |fencing| Engine {
       fencing,
@@ -188,7 +189,7 @@
       replicas: BTreeMap::new(),
     };
     let mut world = Self {
-      weak,
+      defect,
       fenced,
       now,
       nodes: Vec::new(),
@@ -204,11 +205,11 @@
       ran_key: BTreeMap::new(),
       keys: BTreeMap::new(),
       answered: BTreeSet::new(),
-      asked: BTreeSet::new(),
+      requested: BTreeSet::new(),
       next_ticket: 0,
       delay_load: false,
       delayed: None,
-      faults: Vec::new(),
+      violations: Vec::new(),
     };
     for at in 0..INSTANCES {
       let limits = world.limits();
@@ -221,14 +222,14 @@
       world
         .listed
         .insert(format!("entry-{at}"), MachineState::Live);
-      world.give(at, Event::ConfigurationRead(configuration(fenced)));
+      world.handle(at, Event::ConfigurationRead(configuration(fenced)));
     }
     world
   }
 
   fn limits(&self) -> Limits {
-    let order_ttl_ms = match self.weak {
-      Some(Weak::InFlight) => 0,
+    let order_ttl_ms = match self.defect {
+      Some(Defect::InFlight) => 0,
       _ => limits().order_ttl_ms,
     };
     Limits {
@@ -241,8 +242,8 @@
     self.nodes[at].state.me.boot
   }
 
-  /// Gives an instance an event at once.
-  fn give(&mut self, at: usize, event: Event) {
+  /// Lets an instance handle an event immediately.
+  fn handle(&mut self, at: usize, event: Event) {
     if !self.nodes[at].alive {
       return;
     }
@@ -257,18 +258,18 @@
     self.check();
   }
 
-  fn give_of(&mut self, at: usize, boot: u64, event: Event) {
+  fn handle_if_running(&mut self, at: usize, boot: u64, event: Event) {
     if self.boot(at) != boot || !self.nodes[at].alive {
       return;
     }
     if self.nodes[at].paused {
       self.pending.push(Pending::Event(at, boot, event));
     } else {
-      self.give(at, event);
+      self.handle(at, event);
     }
   }
 
-  /// One step of the history.
+  /// Runs one step of the history.
   pub fn step(&mut self, number: u16) {
     let choice = usize::from(number >> 4);
     let at = choice % INSTANCES;
@@ -277,8 +278,8 @@
       6 => self.deliver(choice, true),
       7 => self.now += [1, 20, 60, 400][choice % 4],
       8 => self.tick(at),
-      9 => self.ask(at, choice / INSTANCES),
-      10 => self.call(at, choice / INSTANCES),
+      9 => self.request_model(at, choice / INSTANCES),
+      10 => self.request_service(at, choice / INSTANCES),
       11 => self.nodes[at].paused ^= choice % 2 == 0,
       12 if choice % 8 == 0 => self.restart(at),
       13 if choice % 8 == 0 => self.restart_engine(choice / 8),
@@ -291,16 +292,16 @@
 
   fn tick(&mut self, at: usize) {
     if !self.nodes[at].paused {
-      self.give(at, Event::Tick);
+      self.handle(at, Event::Tick);
     }
   }
 
-  fn ask(&mut self, at: usize, choice: usize) {
+  fn request_model(&mut self, at: usize, choice: usize) {
     let model = MODELS[choice % MODELS.len()].to_string();
     self.request(at, Work::Model { model }, None);
   }
 
-  fn call(&mut self, at: usize, choice: usize) {
+  fn request_service(&mut self, at: usize, choice: usize) {
     let key = (choice % 4) as u64;
     let work = Work::Service {
       service: "portal".into(),
@@ -317,11 +318,11 @@
     self.next_ticket += 1;
     let ticket = self.next_ticket;
     let name = (at, self.boot(at), ticket);
-    self.asked.insert(name);
+    self.requested.insert(name);
     if let Some(key) = key {
       self.keys.insert(name, key);
     }
-    self.give(
+    self.handle(
       at,
       Event::RequestArrived(Descriptor {
         ticket: Ticket(ticket),
@@ -333,18 +334,18 @@
     );
   }
 
-  /// A process ends and another starts in its place.
+  /// Replaces a process by a new one.
   fn restart(&mut self, at: usize) {
     self.now += 1;
     let boot = self.now;
     let kept = |name: &(usize, u64, u64)| name.0 != at;
-    self.asked.retain(kept);
+    self.requested.retain(kept);
     self.nodes[at] = Node {
       state: State::new(identity(at, boot), self.limits(), boot, boot),
       alive: true,
       paused: false,
     };
-    self.give(at, Event::ConfigurationRead(configuration(self.fenced)));
+    self.handle(at, Event::ConfigurationRead(configuration(self.fenced)));
   }
 
   fn restart_engine(&mut self, choice: usize) {
@@ -366,28 +367,28 @@
     let entries: Vec<_> = entries.collect();
     let revision = self.now;
     if !self.nodes[at].paused {
-      self.give(at, Event::InstancesListed { revision, entries });
+      self.handle(at, Event::InstancesListed { revision, entries });
     }
   }
 
-  fn deliver(&mut self, choice: usize, badly: bool) {
+  fn deliver(&mut self, choice: usize, fail: bool) {
     if self.pending.is_empty() {
       return;
     }
     let pick = choice % self.pending.len();
     match self.pending.swap_remove(pick) {
-      Pending::Late(name, version, value) => self.land(name, version, value),
+      Pending::DelayedWrite(name, version, value) => self.commit_write(name, version, value),
       Pending::Event(at, boot, event) => {
-        let stays = self.boot(at) == boot && self.nodes[at].paused;
-        if stays {
+        let deferred = self.boot(at) == boot && self.nodes[at].paused;
+        if deferred {
           self.pending.push(Pending::Event(at, boot, event));
         } else {
-          self.give_of(at, boot, event);
+          self.handle_if_running(at, boot, event);
         }
       }
-      Pending::Wire(at, boot, order, step, sent) => self.arrive(at, boot, order, step, sent, badly),
+      Pending::Order(at, boot, order, step, sent) => self.arrive(at, boot, order, step, sent, fail),
       Pending::Effect(at, boot, effect) => {
-        // What a process has not sent when it ends or pauses stays with it.
+        // Unsent effects are lost when the process ends and held while it is paused.
         if self.boot(at) != boot {
           return;
         }
@@ -395,40 +396,40 @@
           self.pending.push(Pending::Effect(at, boot, effect));
           return;
         }
-        self.carry_out(at, boot, effect, choice, badly);
+        self.run_effect(at, boot, effect, choice, fail);
       }
     }
   }
 
-  fn carry_out(&mut self, at: usize, boot: u64, effect: Effect, choice: usize, badly: bool) {
+  fn run_effect(&mut self, at: usize, boot: u64, effect: Effect, choice: usize, fail: bool) {
     match effect {
       Effect::Update {
         tag, name, change, ..
       } => {
         let (version, value) = self.read(&name);
         let stored = Stored { version, value };
-        let outcome = self.update(&name, stored, change, choice, badly);
+        let outcome = self.update(&name, stored, change, choice, fail);
         let event = Event::Updated { tag, name, outcome };
-        self.answer(at, boot, event);
+        self.push_event(at, boot, event);
       }
       Effect::Order { order, step } => {
         let replica = order.replica;
         if self.now < order.fresh_until {
-          let wire = Pending::Wire(at, boot, order, step, self.now);
-          self.pending.push(wire);
+          let in_transit = Pending::Order(at, boot, order, step, self.now);
+          self.pending.push(in_transit);
         } else {
           let outcome = order::Outcome::NotSent;
           self.ordered(at, boot, replica, step, outcome);
         }
       }
       Effect::Poll { server, .. } => {
-        let report = if badly { None } else { self.report(&server) };
+        let report = if fail { None } else { self.report(&server) };
         let status = Status {
           server,
           requested_at: self.now,
           report,
         };
-        self.answer(at, boot, Event::Reported(status));
+        self.push_event(at, boot, Event::Reported(status));
       }
       Effect::Exchange {
         peer,
@@ -436,13 +437,13 @@
         delta,
       } => {
         let to = self.node(&address);
-        if badly || self.nodes[to].paused {
-          self.answer(at, boot, Event::Exchanged { peer, delta: None });
+        if fail || self.nodes[to].paused {
+          self.push_event(at, boot, Event::Exchanged { peer, delta: None });
           return;
         }
         let before = self.pending.len();
         let call = bendsaddle::event::Call(self.next_ticket);
-        self.give(to, Event::Exchange { call, delta });
+        self.handle(to, Event::Exchange { call, delta });
         let mut reply = None;
         let mut kept = Vec::new();
         for pending in self.pending.drain(before..) {
@@ -452,18 +453,18 @@
           }
         }
         self.pending.extend(kept);
-        self.answer(at, boot, Event::Exchanged { peer, delta: reply });
+        self.push_event(at, boot, Event::Exchanged { peer, delta: reply });
       }
-      Effect::Notify { address, items } if !badly => {
+      Effect::Notify { address, items } if !fail => {
         let to = self.node(&address);
         let from = format!("entry-{at}");
         let boot = self.boot(to);
-        self.answer(to, boot, Event::Notified { from, items });
+        self.push_event(to, boot, Event::Notified { from, items });
       }
       Effect::Claim { shard, group, .. } => {
-        // The owner is out of reach: the instance writes for itself.
+        // The owner is unreachable, so the instance writes the claims itself.
         let outcomes = None;
-        self.answer(
+        self.push_event(
           at,
           boot,
           Event::ClaimAnswered {
@@ -473,7 +474,7 @@
           },
         );
       }
-      Effect::Send(attempt) => self.attempt(at, boot, &attempt, choice, badly),
+      Effect::Send(attempt) => self.attempt(at, boot, &attempt, choice, fail),
       Effect::Refuse { ticket, refusal } => self.refused(at, boot, ticket, refusal),
       Effect::Replay { ticket, .. } => {
         let key = self
@@ -483,7 +484,7 @@
           .unwrap_or_default();
         if self.ran_key.get(&key).copied().unwrap_or_default() == 0 {
           self
-            .faults
+            .violations
             .push(format!("replayed key {key}, which never ran"));
         }
         self.answered.insert((at, boot, ticket.0));
@@ -492,7 +493,7 @@
     }
   }
 
-  fn answer(&mut self, at: usize, boot: u64, event: Event) {
+  fn push_event(&mut self, at: usize, boot: u64, event: Event) {
     self.pending.push(Pending::Event(at, boot, event));
   }
 
@@ -502,7 +503,7 @@
       step,
       outcome,
     };
-    self.answer(at, boot, event);
+    self.push_event(at, boot, event);
   }
 
   fn node(&self, address: &str) -> usize {
@@ -523,18 +524,18 @@
     mut stored: Stored,
     change: Option<Change>,
     choice: usize,
-    badly: bool,
+    fail: bool,
   ) -> Outcome {
     let Some(change) = change else {
-      return if badly {
+      return if fail {
         Outcome::Unavailable
       } else {
         Outcome::Applied(stored)
       };
     };
     let version = stored.version;
-    let change = match self.weak {
-      Some(weak) => weak.spoil(change, &mut stored.value),
+    let change = match self.defect {
+      Some(defect) => defect.inject(change, &mut stored.value),
       None => change,
     };
     match stored.value.apply(&change) {
@@ -542,15 +543,15 @@
       Ok(false) => return Outcome::Applied(stored),
       Ok(true) => {}
     }
-    match (badly, choice % 3) {
+    match (fail, choice % 3) {
       (true, 0) => Outcome::Unavailable,
       (true, 1) => {
-        let late = Pending::Late(name.clone(), version, stored.value);
-        self.pending.push(late);
+        let write = Pending::DelayedWrite(name.clone(), version, stored.value);
+        self.pending.push(write);
         Outcome::Unavailable
       }
       (lost, _) => {
-        self.land(name.clone(), version, stored.value.clone());
+        self.commit_write(name.clone(), version, stored.value.clone());
         stored.version = self.revision;
         if lost {
           Outcome::Unavailable
@@ -561,7 +562,7 @@
     }
   }
 
-  fn land(&mut self, name: Name, version: u64, value: Value) {
+  fn commit_write(&mut self, name: Name, version: u64, value: Value) {
     let held = self.platform.get(&name).map(|held| held.0);
     if held.unwrap_or_default() == version {
       self.revision += 1;
@@ -569,9 +570,9 @@
     }
   }
 
-  fn arrive(&mut self, at: usize, boot: u64, order: Order, step: u64, sent: u64, badly: bool) {
+  fn arrive(&mut self, at: usize, boot: u64, order: Order, step: u64, sent: u64, fail: bool) {
     let replica = order.replica;
-    // Sender gives up after a second; the network after the order's lifetime.
+    // The sender gives up after a second, the network after the lifetime of the order.
     if self.now > sent + limits().order_ttl_ms {
       let outcome = order::Outcome::Unknown;
       self.ordered(at, boot, replica, step, outcome);
@@ -584,19 +585,19 @@
       self.ordered(at, boot, replica, step, outcome);
       return;
     }
-    if badly {
+    if fail {
       let outcome = order::Outcome::Unknown;
       self
         .pending
-        .push(Pending::Wire(at, boot, order, u64::MAX, sent));
+        .push(Pending::Order(at, boot, order, u64::MAX, sent));
       self.ordered(at, boot, replica, step, outcome);
       return;
     }
-    let outcome = self.obey(&order);
+    let outcome = self.execute(&order);
     self.ordered(at, boot, replica, step, outcome);
   }
 
-  fn obey(&mut self, order: &Order) -> order::Outcome {
+  fn execute(&mut self, order: &Order) -> order::Outcome {
     let Some(engine) = self.engines.get_mut(&order.server) else {
       return order::Outcome::Unknown;
     };
@@ -614,7 +615,8 @@
     order::Outcome::Accepted
   }
 
-  /// Each look at an engine finds its loads further on.
+  /// Returns the report of an engine and completes its loads, so that the next report shows them
+  /// as ready.
   fn report(&mut self, server: &str) -> Option<Report> {
     let engine = self.engines.get_mut(server)?;
     engine.seq += 1;
@@ -638,9 +640,9 @@
     Some(report)
   }
 
-  fn attempt(&mut self, at: usize, boot: u64, attempt: &Attempt, choice: usize, badly: bool) {
+  fn attempt(&mut self, at: usize, boot: u64, attempt: &Attempt, choice: usize, fail: bool) {
     let name = (at, boot, attempt.ticket.0);
-    let (runs, end) = match (badly, choice % 4) {
+    let (runs, end) = match (fail, choice % 4) {
       (false, _) => (true, End::Whole),
       (true, 0) => (false, End::Broken(Verdict::NotRun)),
       (true, 1) => (false, End::Declined),
@@ -663,7 +665,7 @@
       end,
       answer,
     };
-    self.answer(at, boot, event);
+    self.push_event(at, boot, event);
   }
 
   fn refused(&mut self, at: usize, boot: u64, ticket: Ticket, refusal: Refusal) {
@@ -671,17 +673,19 @@
     let ran = self.ran.get(&name).copied().unwrap_or_default();
     if refusal.verdict == Verdict::NotRun && ran > 0 {
       let text = format!("request {name:?} ran {ran} times, refused as not run");
-      self.faults.push(text);
+      self.violations.push(text);
     }
     if !self.answered.insert(name) {
-      self.faults.push(format!("request {name:?} answered twice"));
+      self
+        .violations
+        .push(format!("request {name:?} answered twice"));
     }
   }
 
   fn check(&mut self) {
     for (key, ran) in &self.ran_key {
       if *ran > 1 {
-        self.faults.push(format!("key {key} ran {ran} times"));
+        self.violations.push(format!("key {key} ran {ran} times"));
       }
     }
     let mut loaded: BTreeMap<&str, usize> = BTreeMap::new();
@@ -689,7 +693,7 @@
       let used = engine.replicas.len() as u64 * MODEL_MB;
       if used > CAPACITY_MB {
         self
-          .faults
+          .violations
           .push(format!("{server}: {used} of {CAPACITY_MB} MB"));
       }
       for (model, _) in engine.replicas.values() {
@@ -704,13 +708,13 @@
       };
       if count > decided || decided > 1 {
         let text = format!("{model}: {count} loaded, {decided} decided, 1 allowed");
-        self.faults.push(text);
+        self.violations.push(text);
       }
     }
   }
 
-  /// Ends all faults, and lets the system come to rest; every request of a live
-  /// process must have its answer then.
+  /// Ends all injected failures and runs until the system is idle. Every request of a live process
+  /// must have been answered by then.
   pub fn settle(&mut self) {
     for node in &mut self.nodes {
       node.paused = false;
@@ -729,22 +733,24 @@
         budget -= 1;
       }
     }
-    for name in self.asked.clone() {
+    for name in self.requested.clone() {
       if !self.answered.contains(&name) {
-        self.faults.push(format!("request {name:?} has no answer"));
+        self
+          .violations
+          .push(format!("request {name:?} has no answer"));
       }
     }
   }
 
-  /// A load order of a process that ends stays on its way until the last moment
-  /// of its lifetime; others unload the replica meanwhile.
-  pub fn late_order(&mut self) {
+  /// Delays the load order of a process that ends until the last moment of the order's lifetime,
+  /// while other processes unload the replica.
+  pub fn deliver_late_load(&mut self) {
     self.run(|world| {
       let mut nodes = world.nodes.iter();
       nodes.all(|node| node.state.members.live.len() == INSTANCES)
     });
     self.delay_load = true;
-    self.ask(0, 0);
+    self.request_model(0, 0);
     self.run(|world| world.delayed.is_some());
     let ready = |engine: &Engine| {
       let mut replicas = engine.replicas.values();
@@ -756,14 +762,14 @@
     self.restart(sender.unwrap_or_default());
     let sent = self.delayed.as_ref().map(|(_, sent)| *sent);
     let last = sent.unwrap_or_default() + limits().order_ttl_ms;
-    self.run(|world| world.held() == (0, 0) || world.now + 40 >= last);
+    self.run(|world| world.outstanding() == (0, 0) || world.now + 40 >= last);
     if let Some((order, _)) = self.delayed.take() {
-      self.obey(&order);
+      self.execute(&order);
       self.check();
     }
   }
 
-  /// Runs without faults until a condition holds.
+  /// Runs without injected failures until a condition holds.
   fn run(&mut self, until: impl Fn(&Self) -> bool) {
     for _ in 0..1_500 {
       if until(self) {
@@ -777,11 +783,11 @@
         self.deliver(0, false);
       }
     }
-    self.faults.push("a condition was never met".into());
+    self.violations.push("a condition was never met".into());
   }
 
-  /// Replicas held by records and ledgers, to see that nothing leaks.
-  pub fn held(&self) -> (usize, usize) {
+  /// Number of replicas in records and of reservations in ledgers, to detect leaks.
+  pub fn outstanding(&self) -> (usize, usize) {
     let mut held = (0, 0);
     for (_, value) in self.platform.values() {
       match value {
@@ -793,7 +799,7 @@
     held
   }
 
-  /// What holds on, for a failure's message.
+  /// Describes the remaining state for a failure message.
   pub fn describe(&self) -> String {
     let jobs = self.nodes.iter().map(|node| {
       let jobs = node.state.jobs.values();
@@ -809,8 +815,8 @@
     )
   }
 
-  /// Requests answered.
-  pub fn answers(&self) -> usize {
+  /// Number of answered requests.
+  pub fn answered_count(&self) -> usize {
     self.answered.len()
   }
 }
